--- a/lifthinge/agreed/commands.py
+++ b/lifthinge/agreed/commands.py
@@ -1,4 +1,5 @@
 """What is proposed to the members, and what becomes of it: MessagePack by msgspec."""
+
 from typing import Optional, Union
 
 import msgspec
@@ -6,17 +7,19 @@
 
 class OpenSession(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """A client begins; its number is the index of this entry."""
+
     nonce: bytes
 
 
 class Propose(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """A document in place of version `on`; sent again under the same number it takes effect once."""
+
     session: int
     number: int
     on: int
-    at: float           # ms of Unix time, as the proposer has it
+    at: float  # ms of Unix time, as the proposer has it
     author: str
-    body: bytes         # of the document, packed
+    body: bytes  # of the document, packed
 
 
 class Opened(msgspec.Struct, array_like=True, frozen=True, tag=True):
@@ -25,6 +28,7 @@
 
 class Accepted(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """The document stands as this version; `term` and `index` order it among all that ever stood."""
+
     version: int
     term: int
     index: int
@@ -32,16 +36,19 @@
 
 class Outdated(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """The change was made on another version than the one that stands: compare and set failed."""
+
     version: int
 
 
 class Unusable(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """The session is unknown or long past this number, or the document can't be used; nothing took effect."""
+
     why: str
 
 
 class Version(msgspec.Struct, array_like=True, frozen=True):
     """One version of the document, and the digest of all versions up to it."""
+
     version: int
     term: int
     index: int
@@ -57,6 +64,7 @@
 
 class SessionState(msgspec.Struct, array_like=True):
     """A client's last proposal, its answer, and the entry that last used the session."""
+
     number: int
     answer: Optional[Answer]
     used: int
@@ -64,6 +72,7 @@
 
 class AgreedState(msgspec.Struct, array_like=True):
     """All of the agreed state, as a snapshot holds it."""
+
     form: int
     index: int
     term: int
--- a/lifthinge/agreed/document.py
+++ b/lifthinge/agreed/document.py
@@ -13,6 +13,7 @@
 >>> read_document({"backends": [{"id": "x", "reason": "disk", "until": 9}, {"id": "x", "reason": "fan"}]})
 Fault(key='backends[1].id', why='x is named twice')
 """
+
 from typing import Annotated, Any, Union
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
@@ -20,7 +21,7 @@
 from lifthinge.schema import Fault, fault_of
 
 BACKENDS_MOST, ZONES_MOST, METHODS_MOST, REASON_MOST, NAME_MOST = 4_096, 256, 256, 400, 200
-DOCUMENT_MOST = 1 << 20     # bytes of one that is packed
+DOCUMENT_MOST = 1 << 20  # bytes of one that is packed
 Name = Annotated[str, Field(min_length=1, max_length=NAME_MOST)]
 
 
@@ -30,6 +31,7 @@
 
 class OutOfService(_Checked):
     """A backend that is taken out by hand: as good as draining, until then (ms of Unix time; 0: until told)."""
+
     id: Name
     reason: Annotated[str, Field(min_length=1, max_length=REASON_MOST)]
     until: Annotated[float, Field(ge=0, allow_inf_nan=False)] = 0.0
@@ -37,12 +39,14 @@
 
 class ZoneShare(_Checked):
     """What part of its usual work a zone's backends are given."""
+
     name: Name
     share: Annotated[float, Field(ge=0.05, le=1, allow_inf_nan=False)] = 1.0
 
 
 class MethodWorth(_Checked):
     """What an RPC of a method is worth, in place of what the platform's settings say."""
+
     name: Name
     criticality: Annotated[float, Field(gt=0, le=1_000_000, allow_inf_nan=False)]
 
--- a/lifthinge/agreed/state.py
+++ b/lifthinge/agreed/state.py
@@ -15,18 +15,31 @@
 >>> again = Agreed(); again.restore(state.export()); again.export() == state.export(), again.version
 (True, 1)
 """
+
 from typing import Optional
 
 import msgspec
 from blake3 import blake3
 
 from lifthinge.agreed.commands import (
-    Accepted, AgreedState, Answer, Opened, OpenSession, Outdated, Propose, SessionState, Unusable, Version,
-    pack, read_command, read_state)
+    Accepted,
+    AgreedState,
+    Answer,
+    Opened,
+    OpenSession,
+    Outdated,
+    Propose,
+    SessionState,
+    Unusable,
+    Version,
+    pack,
+    read_command,
+    read_state,
+)
 
 FORM = 1
 SESSIONS_MOST = 4_096
-HISTORY_MOST, HISTORY_BYTES = 1_000, 8 << 20    # versions kept; the digest goes back to the first
+HISTORY_MOST, HISTORY_BYTES = 1_000, 8 << 20  # versions kept; the digest goes back to the first
 BODY_MOST = 1 << 20
 
 
@@ -78,8 +91,10 @@
         return answer
 
     def _open(self, index: int) -> Opened:
-        if len(self.sessions) >= SESSIONS_MOST:     # the one unused for longest: alike at every member
-            del self.sessions[min(self.sessions, key=lambda number: (self.sessions[number].used, number))]
+        if len(self.sessions) >= SESSIONS_MOST:  # the one unused for longest: alike at every member
+            del self.sessions[
+                min(self.sessions, key=lambda number: (self.sessions[number].used, number))
+            ]
         self.sessions[index] = SessionState(0, None, index)
         return Opened(index)
 
@@ -90,14 +105,26 @@
             return Unusable("the document is too large")
         head = msgspec.msgpack.encode((self.version + 1, self.term, self.index, command.author))
         digest = blake3(self.digest + head + command.body).digest()
-        new = Version(self.version + 1, self.term, self.index, command.at, command.author, command.body, digest)
+        new = Version(
+            self.version + 1,
+            self.term,
+            self.index,
+            command.at,
+            command.author,
+            command.body,
+            digest,
+        )
         self._keep(new)
         return Accepted(new.version, new.term, new.index)
 
     def _keep(self, new: Version) -> None:
         self.versions.append(new)
         self._bytes += len(new.body)
-        while len(self.versions) > HISTORY_MOST or self._bytes > HISTORY_BYTES and len(self.versions) > 1:
+        while (
+            len(self.versions) > HISTORY_MOST
+            or self._bytes > HISTORY_BYTES
+            and len(self.versions) > 1
+        ):
             self._bytes -= len(self.versions.pop(0).body)
 
     def export(self) -> bytes:
@@ -109,7 +136,12 @@
         state = read_state(data)
         if state.form != FORM:
             raise msgspec.ValidationError(f"a snapshot of form {state.form}")
-        self.index, self.term, self.versions, self.sessions = state.index, state.term, state.versions, state.sessions
+        self.index, self.term, self.versions, self.sessions = (
+            state.index,
+            state.term,
+            state.versions,
+            state.sessions,
+        )
         self._bytes = sum(len(one.body) for one in self.versions)
 
 
--- a/lifthinge/capture/against.py
+++ b/lifthinge/capture/against.py
@@ -3,6 +3,7 @@
 The world would have answered the other text's orders otherwise: from the first parting on, what both hear is what the
 recorded text brought about. So partings tell where to look, not which text is better.
 """
+
 import importlib.util
 import subprocess
 import tempfile
@@ -15,7 +16,7 @@
 from lifthinge.interface import Event, Order, Say, Wake
 
 MODULE = "lifthinge/choice.py"
-QUIET = (Say, Wake)     # orders that change nothing outside
+QUIET = (Say, Wake)  # orders that change nothing outside
 
 
 def load_text(where: str) -> Union[type, str]:
@@ -35,13 +36,14 @@
     try:
         spec.loader.exec_module(module)
         return module.Choice
-    except Exception as error:      # another text may fail in any way
+    except Exception as error:  # another text may fail in any way
         return f"{where}: {type(error).__name__}: {error}"
 
 
 @dataclass
 class Parting:
     """The first turn at which the two ordered otherwise."""
+
     now: float
     events: list[Event]
     ours: list[Order]
@@ -51,11 +53,12 @@
 @dataclass
 class Against:
     """Both texts in step."""
+
     kind: type
     turns: int = 0
     parted: int = 0
     first: Optional[Parting] = None
-    ours: Counter = field(default_factory=Counter)      # orders by kind
+    ours: Counter = field(default_factory=Counter)  # orders by kind
     theirs: Counter = field(default_factory=Counter)
 
     def __post_init__(self) -> None:
@@ -69,8 +72,10 @@
             if record[0] != "t" or self._one.choice is None or self._other.choice is None:
                 continue
             self.turns += 1
-            ours, theirs = ([order for order in played.orders if not isinstance(order, QUIET)]
-                            for played in (self._one, self._other))
+            ours, theirs = (
+                [order for order in played.orders if not isinstance(order, QUIET)]
+                for played in (self._one, self._other)
+            )
             self.ours.update(type(order).__name__ for order in ours)
             self.theirs.update(type(order).__name__ for order in theirs)
             if self._one.coder.plain(ours) != self._other.coder.plain(theirs):
--- a/lifthinge/capture/anonymise.py
+++ b/lifthinge/capture/anonymise.py
@@ -9,12 +9,15 @@
 >>> anonymised([["t", 1.0, [["b", 0, "s-5be2a07c", ["s-5be2a07c", False]]], [], [], b""]], names)
 [['t', 1.0, [['b', 0, 'backend-0', ['backend-0', False]]], [], [], b'']]
 """
+
 from dataclasses import fields
 from typing import Any
 
 from lifthinge.interface import Backend
 
-_EP, _NAME = (2 + [one.name for one in fields(Backend)].index(name) for name in ("ep", "name"))   # after tag, number
+_EP, _NAME = (
+    2 + [one.name for one in fields(Backend)].index(name) for name in ("ep", "name")
+)  # after tag, number
 
 
 class Names:
@@ -46,8 +49,14 @@
     for record in records:
         if record[0] == "k":
             _, terms, definitions, (form, own, kept) = record
-            found.append(["k", terms, [_definition(one, names) for one in definitions],
-                          [form, own, [_kept(one, names) for one in kept]]])
+            found.append(
+                [
+                    "k",
+                    terms,
+                    [_definition(one, names) for one in definitions],
+                    [form, own, [_kept(one, names) for one in kept]],
+                ]
+            )
         elif record[0] == "t":
             _, now, definitions, *rest = record
             found.append(["t", now, [_definition(one, names) for one in definitions], *rest])
--- a/lifthinge/capture/capture.py
+++ b/lifthinge/capture/capture.py
@@ -1,4 +1,5 @@
 """Captures what passes the decisions while the program runs; it never holds a turn up."""
+
 import logging
 from collections import deque
 from pathlib import Path
@@ -13,7 +14,7 @@
 from lifthinge.memory.counters import Counters
 
 log = logging.getLogger(__name__)
-WAITING_MOST = 2_000        # records not yet written; what comes beyond is left out, with a mark
+WAITING_MOST = 2_000  # records not yet written; what comes beyond is left out, with a mark
 
 
 class Capture:
@@ -22,9 +23,9 @@
     def __init__(self, choice: Choice, writer: SegmentWriter, counters: Counters) -> None:
         self.recorder, self.writer, self.counters = Recorder(choice), writer, counters
         self._due: SimpleQueue[Optional[list[list]]] = SimpleQueue()
-        self._waiting = 0           # records given to the thread, less those that it has written
+        self._waiting = 0  # records given to the thread, less those that it has written
         self._written: deque[int] = deque()
-        self._left_out: Optional[float] = None      # since when
+        self._left_out: Optional[float] = None  # since when
         self.failed = ""
         self._thread = Thread(target=self._run, name="capture", daemon=True)
         self._thread.start()
@@ -70,7 +71,15 @@
         self.writer.close()
 
 
-def open_capture(choice: Choice, folder: str, budget_mb: float, segment_mb: float, head: dict[str, Any],
-                 counters: Counters) -> Capture:
-    writer = SegmentWriter(Path(folder), head, int(budget_mb * (1 << 20)), int(segment_mb * (1 << 20)))
+def open_capture(
+    choice: Choice,
+    folder: str,
+    budget_mb: float,
+    segment_mb: float,
+    head: dict[str, Any],
+    counters: Counters,
+) -> Capture:
+    writer = SegmentWriter(
+        Path(folder), head, int(budget_mb * (1 << 20)), int(segment_mb * (1 << 20))
+    )
     return Capture(choice, writer, counters)
--- a/lifthinge/capture/codec.py
+++ b/lifthinge/capture/codec.py
@@ -18,6 +18,7 @@
     ...
 lifthinge.capture.codec.Unreadable: no kind 'Elsewhere'
 """
+
 from collections import deque
 from dataclasses import fields
 from enum import Enum
@@ -32,22 +33,62 @@
 from lifthinge.interface import Backend, Proxy, Slice
 from lifthinge.lowest import Lowest
 
-FORM = 2        # of the plain values; another form is not read
-_EVENTS = (interface.ByHand, interface.FleetNews, interface.TimerDue, interface.ProbeResult, interface.PeerNote,
-           interface.ProxyJoined, interface.ProxyLeft, interface.TriesReport, interface.ProxyLoad, interface.SliceHeat,
-           interface.Leased, interface.StoredLine, interface.SealConfirmed, interface.ChannelState, interface.OutStands)
-_ORDERS = (interface.SetLine, interface.ClearTable, interface.BindProxy, interface.ShutOut, interface.SetLevel,
-           interface.Seal, interface.Wake, interface.Probe, interface.TellPeers, interface.Say, interface.FollowList,
-           interface.FetchList, interface.RepeatCall, interface.Forget)
+FORM = 2  # of the plain values; another form is not read
+_EVENTS = (
+    interface.ByHand,
+    interface.FleetNews,
+    interface.TimerDue,
+    interface.ProbeResult,
+    interface.PeerNote,
+    interface.ProxyJoined,
+    interface.ProxyLeft,
+    interface.TriesReport,
+    interface.ProxyLoad,
+    interface.SliceHeat,
+    interface.Leased,
+    interface.StoredLine,
+    interface.SealConfirmed,
+    interface.ChannelState,
+    interface.OutStands,
+)
+_ORDERS = (
+    interface.SetLine,
+    interface.ClearTable,
+    interface.BindProxy,
+    interface.ShutOut,
+    interface.SetLevel,
+    interface.Seal,
+    interface.Wake,
+    interface.Probe,
+    interface.TellPeers,
+    interface.Say,
+    interface.FollowList,
+    interface.FetchList,
+    interface.RepeatCall,
+    interface.Forget,
+)
 KINDS: dict[str, tuple[type, tuple[str, ...]]] = {
     kind.__name__: (kind, tuple(one.name for one in fields(kind)))
-    for kind in (*_EVENTS, *_ORDERS, interface.Listing, interface.Method, interface.SiteTerms)}
-ENUMS = {kind.__name__: kind for kind in (interface.Phase, interface.Form, interface.Outcome, interface.Retry)}
-HOLDERS: dict[str, tuple[type, tuple[str, ...]]] = {    # made without their initialiser, field by field
-    "Histogram": (Histogram, Histogram.__slots__), "Lowest": (Lowest, Lowest.__slots__),
-    "Channel": (Channel, Channel.__slots__)}
-NAMED: dict[str, tuple[type, str, tuple[str, ...]]] = {     # tag: kind, what it is known by, what the adapter sets
-    "b": (Backend, "ep", ("name", "shut_out")), "s": (Slice, "number", ()), "p": (Proxy, "number", ("zone", "size", "bound"))}
+    for kind in (*_EVENTS, *_ORDERS, interface.Listing, interface.Method, interface.SiteTerms)
+}
+ENUMS = {
+    kind.__name__: kind
+    for kind in (interface.Phase, interface.Form, interface.Outcome, interface.Retry)
+}
+HOLDERS: dict[
+    str, tuple[type, tuple[str, ...]]
+] = {  # made without their initialiser, field by field
+    "Histogram": (Histogram, Histogram.__slots__),
+    "Lowest": (Lowest, Lowest.__slots__),
+    "Channel": (Channel, Channel.__slots__),
+}
+NAMED: dict[
+    str, tuple[type, str, tuple[str, ...]]
+] = {  # tag: kind, what it is known by, what the adapter sets
+    "b": (Backend, "ep", ("name", "shut_out")),
+    "s": (Slice, "number", ()),
+    "p": (Proxy, "number", ("zone", "size", "bound")),
+}
 # Of a `Choice`; `notes` is made anew, and `terms` stands in the head.
 SKIPPED = ("notes", "terms")
 _BARE = frozenset((type(None), bool, int, float, str, bytes))
@@ -72,7 +113,7 @@
     """Knows the objects of one capture by their numbers."""
 
     def __init__(self) -> None:
-        self._numbers: dict[Any, list] = {}     # tag and number
+        self._numbers: dict[Any, list] = {}  # tag and number
         self._objects: dict[tuple[str, int], Any] = {}
         self._fresh: list[Any] = []
         self._counts = dict.fromkeys(NAMED, 0)
@@ -83,11 +124,23 @@
         kind = type(value)
         if kind in _BARE:
             return value
-        fast = _READ.get(kind)      # nearly all that passes is an event of a few bare fields and one object
+        fast = _READ.get(
+            kind
+        )  # nearly all that passes is an event of a few bare fields and one object
         if fast is not None:
             name, read = fast
-            return ["o", name, *[one if type(one) in _BARE else self._numbers.get(one) or self.plain(one)
-                                 if type(one) in _OBJECTS else self.plain(one) for one in read(value)]]
+            return [
+                "o",
+                name,
+                *[
+                    one
+                    if type(one) in _BARE
+                    else self._numbers.get(one) or self.plain(one)
+                    if type(one) in _OBJECTS
+                    else self.plain(one)
+                    for one in read(value)
+                ],
+            ]
         if kind in _OBJECTS:
             return self._number(value)
         if kind in (list, tuple, deque):
@@ -126,7 +179,10 @@
 
     def definitions(self) -> list[list]:
         """All that has a number, as a keyframe defines it: what the adapter has set is in its state."""
-        return [[tag, number, getattr(one, NAMED[tag][1]), []] for one, (tag, number) in self._numbers.items()]
+        return [
+            [tag, number, getattr(one, NAMED[tag][1]), []]
+            for one, (tag, number) in self._numbers.items()
+        ]
 
     # And back.
 
@@ -174,12 +230,16 @@
 
     def export(self, choice: Choice) -> list:
         """All that an instance will ever decide by: what it keeps itself, and what it keeps on the objects it knows."""
-        own = {name: self.plain(value) for name, value in vars(choice).items() if name not in SKIPPED}
+        own = {
+            name: self.plain(value) for name, value in vars(choice).items() if name not in SKIPPED
+        }
         kept, done = [], 0
-        while done < len(self._numbers):        # objects name further objects
+        while done < len(self._numbers):  # objects name further objects
             for one in list(self._numbers)[done:]:
                 names = [field.name for field in fields(one)]
-                kept.append([*self._number(one), *(self.plain(getattr(one, name)) for name in names)])
+                kept.append(
+                    [*self._number(one), *(self.plain(getattr(one, name)) for name in names)]
+                )
                 done += 1
         return [FORM, own, kept]
 
--- a/lifthinge/capture/segments.py
+++ b/lifthinge/capture/segments.py
@@ -15,6 +15,7 @@
 >>> _ = path.write_bytes(b"nothing"); read_segment(path)
 NoCapture(path='cap-00000002', why='no head of a capture')
 """
+
 import os
 import zlib
 from dataclasses import dataclass
@@ -27,14 +28,15 @@
 
 FORM = 1
 HEAD, BLOCK = 1, 2
-BLOCK_RECORDS = 256         # records in a block at most
-BLOCK_MOST = 64 << 20       # bytes of a block unpacked: no file makes a reader take more
-LEVEL = 1                   # of compression: what is recorded is alike all along
+BLOCK_RECORDS = 256  # records in a block at most
+BLOCK_MOST = 64 << 20  # bytes of a block unpacked: no file makes a reader take more
+LEVEL = 1  # of compression: what is recorded is alike all along
 
 
 @dataclass(frozen=True, slots=True)
 class NoCapture:
     """Why a file can't be read as a segment."""
+
     path: str
     why: str
 
@@ -42,6 +44,7 @@
 @dataclass(frozen=True, slots=True)
 class Segment:
     """A segment as found in a folder; times are those of its first and last turn."""
+
     path: Path
     first: float
     last: float
@@ -90,7 +93,9 @@
     def _begin(self) -> None:
         self.close()
         self._number += 1
-        self._file = os.open(self.folder / f"cap-{self._number:08d}", os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
+        self._file = os.open(
+            self.folder / f"cap-{self._number:08d}", os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600
+        )
         packed = records.pack(HEAD, msgspec.msgpack.encode({"form": FORM, **self.head}), 0)
         os.write(self._file, packed)
         self._size = len(packed)
@@ -129,7 +134,13 @@
         if head.get("form") != FORM:
             return NoCapture(path.name, f"a capture of form {head.get('form')}, not {FORM}")
         turns = [record for one in found[1:] for record in _unpacked(one.data)]
-    except (msgspec.DecodeError, msgspec.ValidationError, zlib.error, AttributeError, RecursionError) as error:
+    except (
+        msgspec.DecodeError,
+        msgspec.ValidationError,
+        zlib.error,
+        AttributeError,
+        RecursionError,
+    ) as error:
         return NoCapture(path.name, str(error))
     return head, turns
 
@@ -153,5 +164,7 @@
             continue
         head, turns = read
         times = [one[1] for one in turns if one[0] == "t"]
-        found.append(Segment(path, min(times, default=0.0), max(times, default=0.0), len(times), head))
+        found.append(
+            Segment(path, min(times, default=0.0), max(times, default=0.0), len(times), head)
+        )
     return found
--- a/lifthinge/capture/turns.py
+++ b/lifthinge/capture/turns.py
@@ -8,6 +8,7 @@
 
 `given` is what the adapter has set on proxies that joined. Times are milliseconds.
 """
+
 from dataclasses import dataclass
 from typing import Any, Callable, Iterable, Iterator, Optional
 
@@ -23,7 +24,9 @@
 
 def digest_of(coder: Coder, orders: list[Order]) -> bytes:
     """What tells one list of orders from another; what is said beside them explains, and names names."""
-    return blake3(_encode([coder.plain(order) for order in orders if type(order) is not Say])).digest(length=16)
+    return blake3(
+        _encode([coder.plain(order) for order in orders if type(order) is not Say])
+    ).digest(length=16)
 
 
 class Recorder:
@@ -62,23 +65,24 @@
 @dataclass(frozen=True)
 class Parted:
     """The first turn at which a replay ordered otherwise."""
-    place: int          # record
+
+    place: int  # record
     now: float
     events: list[Event]
-    orders: list[Order]     # of the replay
+    orders: list[Order]  # of the replay
 
 
 class Replay:
     """Plays records again; `turns` counts those that came out alike."""
 
     def __init__(self, kind: type = Choice) -> None:
-        self.kind = kind            # another text of the decisions orders otherwise: nothing is compared then
+        self.kind = kind  # another text of the decisions orders otherwise: nothing is compared then
         self.coder: Optional[Coder] = None
         self.choice: Optional[Choice] = None
-        self.events: list[Event] = []       # of the last turn, and what was ordered
+        self.events: list[Event] = []  # of the last turn, and what was ordered
         self.orders: list[Order] = []
         self.turns = self.skipped = 0
-        self.digest = blake3()      # of all orders: ten replays give one
+        self.digest = blake3()  # of all orders: ten replays give one
 
     def play(self, records: Iterable[list]) -> Optional[Parted]:
         """None if all came out as recorded, else where it parted; `Unreadable` if a record makes no sense."""
@@ -105,7 +109,15 @@
         """What is read of a record that anyone may have written."""
         try:
             return read()
-        except (KeyError, IndexError, TypeError, ValueError, AttributeError, OverflowError, RecursionError) as error:
+        except (
+            KeyError,
+            IndexError,
+            TypeError,
+            ValueError,
+            AttributeError,
+            OverflowError,
+            RecursionError,
+        ) as error:
             raise Unreadable(f"record {place}: {type(error).__name__}: {error}") from None
 
     def _begin(self, terms: Any, definitions: list, state: list) -> None:
@@ -114,8 +126,9 @@
             self.coder.define(*one)
         self.choice = self.coder.restore(self.coder.object(terms), state, self.kind)
 
-    def _told(self, now: float, definitions: list, given: list, told: list, digest: bytes
-              ) -> tuple[float, list[Event], bytes]:
+    def _told(
+        self, now: float, definitions: list, given: list, told: list, digest: bytes
+    ) -> tuple[float, list[Event], bytes]:
         for one in definitions:
             self.coder.define(*one)
         for tag, number, zone, size, bound in given:
--- a/lifthinge/capture/words.py
+++ b/lifthinge/capture/words.py
@@ -6,6 +6,7 @@
 >>> words(FleetNews(Form.DELTA, [Listing(Backend("s-a", "s-a"), 1, 0, Phase.READY, 0.0, 1.0)]))
 'FleetNews form=delta listings=[Listing backend=s-a zone=1 cell=0 phase=ready started=0 size=1]'
 """
+
 from enum import Enum
 from typing import Any
 
@@ -29,5 +30,7 @@
         return "{" + ", ".join(f"{words(key)}: {words(value)}" for key, value in one.items()) + "}"
     name = type(one).__name__
     if name in KINDS:
-        return " ".join([name, *(f"{field}={words(getattr(one, field))}" for field in KINDS[name][1])])
+        return " ".join(
+            [name, *(f"{field}={words(getattr(one, field))}" for field in KINDS[name][1])]
+        )
     return str(one)
--- a/lifthinge/channel.py
+++ b/lifthinge/channel.py
@@ -13,6 +13,7 @@
 >>> books.confirmed(1, "q"); books.waiting(), books.unconfirmed()
 (0.0, 0)
 """
+
 from collections import deque
 from itertools import islice
 from typing import Hashable, Iterable
@@ -25,7 +26,7 @@
 
     def __init__(self) -> None:
         self.flight: deque[tuple[int, float, dict[Hashable, None], float]] = deque()
-        self.pushes: deque[float] = deque()         # times of the pushes not yet forgotten
+        self.pushes: deque[float] = deque()  # times of the pushes not yet forgotten
         self.pushed_at = float("-inf")
 
     def sent(self, seal: int, lines: float, receivers: Iterable[Hashable], now: float) -> None:
--- a/lifthinge/cli/agreed.py
+++ b/lifthinge/cli/agreed.py
@@ -1,4 +1,5 @@
 """`lifthinge agreed`."""
+
 import difflib
 import getpass
 import json
@@ -8,10 +9,18 @@
 import click
 
 from lifthinge.agreed.document import Document, Fault, read_document
-from lifthinge.cli.common import FAILED, as_json, operators_file, refuse_sorry, show, stop, with_client
+from lifthinge.cli.common import (
+    FAILED,
+    as_json,
+    operators_file,
+    refuse_sorry,
+    show,
+    stop,
+    with_client,
+)
 from lifthinge.operators import Unfit, line_of, read_hcl, read_text
 
-WAIT = 15_000.0     # ms for a command
+WAIT = 15_000.0  # ms for a command
 
 
 def need_document(path: str) -> Document:
@@ -21,10 +30,16 @@
     if isinstance(data, Unfit):
         stop(data)
     body: dict[str, list] = {}
-    for block, part, key in (("backend", "backends", "id"), ("zone", "zones", "name"), ("method", "methods", "name")):
+    for block, part, key in (
+        ("backend", "backends", "id"),
+        ("zone", "zones", "name"),
+        ("method", "methods", "name"),
+    ):
         labelled = data.pop(block, [])
-        if not isinstance(labelled, list) or not all(isinstance(one, dict) and all(
-                isinstance(inner, dict) for inner in one.values()) for one in labelled):
+        if not isinstance(labelled, list) or not all(
+            isinstance(one, dict) and all(isinstance(inner, dict) for inner in one.values())
+            for one in labelled
+        ):
             stop(f'{path}:{line_of(text, block)}: {block}: write {block} "{key}" {{ … }}')
         for one in labelled:
             for label, inner in one.items():
@@ -34,9 +49,13 @@
                 body.setdefault(part, []).append({key: label, **inner})
     if data:
         from lifthinge.nearest import nearest
+
         name = next(iter(data))
         like = nearest(name, ("backend", "zone", "method"))
-        stop(f"{path}:{line_of(text, name)}: {name}: unknown" + (f"; did you mean {like}?" if like else ""))
+        stop(
+            f"{path}:{line_of(text, name)}: {name}: unknown"
+            + (f"; did you mean {like}?" if like else "")
+        )
     found = read_document(body)
     if isinstance(found, Fault):
         stop(f"{path}:{line_of(text, found.key.split('.')[-1])}: {found.key}: {found.why}")
@@ -58,7 +77,10 @@
 
 def _lines(body: bytes) -> list[str]:
     import msgspec
-    return json.dumps(msgspec.msgpack.decode(body) if body else {}, indent=2, sort_keys=True).splitlines()
+
+    return json.dumps(
+        msgspec.msgpack.decode(body) if body else {}, indent=2, sort_keys=True
+    ).splitlines()
 
 
 @click.group()
@@ -68,25 +90,34 @@
 
 @agreed.command("propose")
 @click.argument("document")
-@click.option("--on", "on", type=int, required=True, help="The version that the change was made on.")
+@click.option(
+    "--on", "on", type=int, required=True, help="The version that the change was made on."
+)
 @click.option("--author", default=None, help="Who proposes; the user's name without it.")
 @operators_file
 @as_json
 def propose(document: str, on: int, author: str | None, path: str, as_json: bool) -> None:
     """Proposes a document in place of a version: refused if another stands by now."""
     from lifthinge.agreed.commands import Accepted, Outdated
+
     body = body_of(need_document(document))
 
     async def use(client, until):
-        return await client.propose(body, on, author or getpass.getuser(), time.time() * 1000.0, until)
+        return await client.propose(
+            body, on, author or getpass.getuser(), time.time() * 1000.0, until
+        )
+
     reply = with_client(path, use, WAIT)
     refuse_sorry(reply)
     if isinstance(reply, Outdated):
         stop(f"version {reply.version} stands, not {on}: look at it, then propose on it", FAILED)
     if not isinstance(reply, Accepted):
         stop(reply.why, FAILED)
-    show({"version": reply.version, "term": reply.term, "index": reply.index}, as_json,
-         [(f"version {reply.version} stands",)])
+    show(
+        {"version": reply.version, "term": reply.term, "index": reply.index},
+        as_json,
+        [(f"version {reply.version} stands",)],
+    )
 
 
 def _shown(path: str, version: int | None):
@@ -94,6 +125,7 @@
 
     async def use(client, until):
         return await client.ask(talk.Show(version), until)
+
     reply = with_client(path, use, WAIT)
     refuse_sorry(reply)
     return reply
@@ -107,10 +139,23 @@
     """The document that stands, or a version of before."""
     reply = _shown(path, version)
     lines = _lines(reply.body)
-    show({"version": reply.version, "term": reply.term, "index": reply.index, "author": reply.author,
-          "at": reply.at, "document": json.loads("\n".join(lines))}, as_json,
-         [(f"version {reply.version}, term {reply.term}, index {reply.index}, by {reply.author or 'nobody'}",),
-          *((line,) for line in lines)])
+    show(
+        {
+            "version": reply.version,
+            "term": reply.term,
+            "index": reply.index,
+            "author": reply.author,
+            "at": reply.at,
+            "document": json.loads("\n".join(lines)),
+        },
+        as_json,
+        [
+            (
+                f"version {reply.version}, term {reply.term}, index {reply.index}, by {reply.author or 'nobody'}",
+            ),
+            *((line,) for line in lines),
+        ],
+    )
 
 
 @agreed.command("history")
@@ -123,11 +168,20 @@
 
     async def use(client, until):
         return await client.ask(talk.History(since), until)
+
     reply = with_client(path, use, WAIT)
     refuse_sorry(reply)
-    rows = [(one.version, one.term, one.index,
-             datetime.fromtimestamp(one.at / 1000, timezone.utc).isoformat(timespec="seconds"), one.author,
-             one.digest.hex()[:16]) for one in reply.versions]
+    rows = [
+        (
+            one.version,
+            one.term,
+            one.index,
+            datetime.fromtimestamp(one.at / 1000, timezone.utc).isoformat(timespec="seconds"),
+            one.author,
+            one.digest.hex()[:16],
+        )
+        for one in reply.versions
+    ]
     names = ("version", "term", "index", "at", "author", "digest")
     show({"versions": [dict(zip(names, row)) for row in rows]}, as_json, rows, names)
 
@@ -139,6 +193,11 @@
 def diff(old: int, new: int | None, path: str) -> None:
     """What changed between two versions, or from one to that which stands."""
     before, after = _shown(path, old), _shown(path, new)
-    for line in difflib.unified_diff(_lines(before.body), _lines(after.body), f"version {before.version}",
-                                     f"version {after.version}", lineterm=""):
+    for line in difflib.unified_diff(
+        _lines(before.body),
+        _lines(after.body),
+        f"version {before.version}",
+        f"version {after.version}",
+        lineterm="",
+    ):
         click.echo(line)
--- a/lifthinge/cli/capture.py
+++ b/lifthinge/cli/capture.py
@@ -1,4 +1,5 @@
 """`lifthinge capture`."""
+
 from datetime import datetime, timezone
 from pathlib import Path
 
@@ -14,6 +15,7 @@
 
 def _segments(folder: str) -> list:
     from lifthinge.capture.segments import segments
+
     found = segments(Path(folder)) if Path(folder).is_dir() else []
     return found or stop(f"{folder}: no segment of a capture")
 
@@ -24,6 +26,7 @@
 def capture_list(folder: str, as_json: bool) -> None:
     """Every segment: from when to when, and how many turns."""
     from lifthinge.capture.segments import NoCapture
+
     rows, data = [], []
     for one in _segments(folder):
         if isinstance(one, NoCapture):
@@ -31,12 +34,24 @@
             data.append({"segment": one.path, "unusable": one.why})
             continue
         size = one.path.stat().st_size
-        first, last = (datetime.fromtimestamp(at / 1000, timezone.utc).isoformat(timespec="milliseconds")
-                       for at in (one.first, one.last))
+        first, last = (
+            datetime.fromtimestamp(at / 1000, timezone.utc).isoformat(timespec="milliseconds")
+            for at in (one.first, one.last)
+        )
         rows.append((one.path.name, first, last, one.turns, size, one.head.get("name", "")))
-        data.append({"segment": one.path.name, "first_ms": one.first, "last_ms": one.last, "turns": one.turns,
-                     "bytes": size, "name": one.head.get("name")})
-    show({"segments": data}, as_json, rows, ("segment", "from", "to", "turns", "bytes", "controller"))
+        data.append(
+            {
+                "segment": one.path.name,
+                "first_ms": one.first,
+                "last_ms": one.last,
+                "turns": one.turns,
+                "bytes": size,
+                "name": one.head.get("name"),
+            }
+        )
+    show(
+        {"segments": data}, as_json, rows, ("segment", "from", "to", "turns", "bytes", "controller")
+    )
 
 
 @capture.command("anonymise")
@@ -47,6 +62,7 @@
     """A copy in which backends and the controller have other names, the same all through; it replays alike."""
     from lifthinge.capture.anonymise import Names, anonymised
     from lifthinge.capture.segments import NoCapture, SegmentWriter, read_segment
+
     if Path(target).exists() and any(Path(target).iterdir()):
         stop(f"{target}: not an empty folder")
     names, turns = Names(), 0
@@ -54,7 +70,9 @@
         if isinstance(one, NoCapture):
             stop(f"{one.path}: {one.why}")
         head, records = read_segment(one.path)
-        writer = SegmentWriter(Path(target), {"name": "controller", "life": head.get("life")}, 1 << 62, 1 << 62)
+        writer = SegmentWriter(
+            Path(target), {"name": "controller", "life": head.get("life")}, 1 << 62, 1 << 62
+        )
         writer.write(anonymised(records, names))
         writer.close()
         turns += one.turns
--- a/lifthinge/cli/common.py
+++ b/lifthinge/cli/common.py
@@ -1,4 +1,5 @@
 """What commands share: one-line errors, tables for people, JSON for programs."""
+
 import asyncio
 import json
 import sys
@@ -13,8 +14,13 @@
 T = TypeVar("T")
 
 as_json = click.option("--json", "as_json", is_flag=True, help="JSON, one object, for programs.")
-operators_file = click.option("--operator", "path", default="deploy/operator.hcl", show_default=True,
-                              help="The operators' file.")
+operators_file = click.option(
+    "--operator",
+    "path",
+    default="deploy/operator.hcl",
+    show_default=True,
+    help="The operators' file.",
+)
 
 
 def stop(why: object, code: int = UNUSABLE) -> NoReturn:
@@ -36,8 +42,11 @@
     if as_json:
         click.echo(json.dumps(data, sort_keys=True))
         return
-    table = [head, *[tuple(str(one) for one in row) for row in rows]] if head else [
-        tuple(str(one) for one in row) for row in rows]
+    table = (
+        [head, *[tuple(str(one) for one in row) for row in rows]]
+        if head
+        else [tuple(str(one) for one in row) for row in rows]
+    )
     widths = [max(len(row[at]) for row in table) for at in range(len(table[0]))] if table else []
     for row in table:
         click.echo("  ".join(one.ljust(width) for one, width in zip(row, widths)).rstrip())
@@ -49,6 +58,7 @@
     from lifthinge.cluster.keys import KeyFile, NoKeys, read_keys
     from lifthinge.operators import split_address
     from lifthinge.service.run import make_books
+
     part = need(path).agreed
     if part is None:
         stop(f"{path}: agreed: no such block, so no members to ask")
@@ -64,12 +74,14 @@
             return await use(client, books.now + wait_ms)
         finally:
             client.close()
+
     return asyncio.run(run())
 
 
 def refuse_sorry(reply: Any) -> None:
     """Ends the command if the members gave no proper answer."""
     from lifthinge.cluster.talk import Sorry
+
     if reply is None:
         stop("no member answered in time", FAILED)
     if isinstance(reply, Sorry):
--- a/lifthinge/cli/drill.py
+++ b/lifthinge/cli/drill.py
@@ -1,4 +1,5 @@
 """`lifthinge drill`."""
+
 import json
 import sys
 
@@ -19,6 +20,7 @@
 def raft(size: int, seconds: float, seed: int, as_json: bool, keep: str) -> None:
     """Real processes on loopback, with kills, stops, cuts, slow and full disks, and changes of members."""
     from lifthinge.lab.raftdrill import run
+
     result = run(size, seconds, seed, keep, quiet=as_json)
     click.echo(json.dumps(result, sort_keys=True))
     sys.exit(0 if result["ok"] else 1)
@@ -36,16 +38,22 @@
     from lifthinge.lab.faults import FAULTS
     from lifthinge.lab.raftworld import RaftWorld, Violation
     from lifthinge.nearest import nearest
+
     if fault and fault not in FAULTS:
         like = nearest(fault, FAULTS)
-        stop(f"--fault {fault}: unknown" + (f"; did you mean {like}?" if like else f"; one of {', '.join(FAULTS)}"))
+        stop(
+            f"--fault {fault}: unknown"
+            + (f"; did you mean {like}?" if like else f"; one of {', '.join(FAULTS)}")
+        )
     seen: dict[str, int] = {}
     for number in range(walks):
         world = RaftWorld(seed * 1_000_003 + number, size, fault)
         try:
             world.walk(steps)
         except (Violation, AssertionError) as error:
-            click.echo(json.dumps({"ok": False, "walk": number, "fault": fault, "found": str(error)}))
+            click.echo(
+                json.dumps({"ok": False, "walk": number, "fault": fault, "found": str(error)})
+            )
             sys.exit(1)
         for name, count in world.seen.items():
             seen[name] = seen.get(name, 0) + count
@@ -57,10 +65,17 @@
 @click.option("--proposers", default="1,16,64", show_default=True)
 @click.option("--seconds", type=float, default=5.0, show_default=True, help="For each load.")
 @click.option("--kills", type=int, default=0, show_default=True)
-@click.option("--entries", type=int, default=0, show_default=True, help="To catch up with, by log or snapshot.")
+@click.option(
+    "--entries",
+    type=int,
+    default=0,
+    show_default=True,
+    help="To catch up with, by log or snapshot.",
+)
 def raft_bench(sizes: str, proposers: str, seconds: float, kills: int, entries: int) -> None:
     """What the cluster costs, beside a bare sync and a bare echo in the same run."""
     from lifthinge.lab.raftbench import run
+
     numbers = [tuple(int(one) for one in text.split(",")) for text in (sizes, proposers)]
     click.echo(json.dumps(run(*numbers, seconds, kills, entries), indent=1))
 
@@ -71,4 +86,5 @@
 def capture_bench(sizes: str, turns: int) -> None:
     """What recording costs, on and off in turn on one load, and how fast a replay is."""
     from lifthinge.lab.capturebench import measure
+
     click.echo(json.dumps(measure(tuple(int(one) for one in sizes.split(",")), turns), indent=1))
--- a/lifthinge/cli/members.py
+++ b/lifthinge/cli/members.py
@@ -1,9 +1,10 @@
 """`lifthinge members`."""
+
 import click
 
 from lifthinge.cli.common import as_json, operators_file, refuse_sorry, show, with_client
 
-WAIT = 15_000.0     # ms for a command
+WAIT = 15_000.0  # ms for a command
 
 
 @click.group()
@@ -29,6 +30,7 @@
             if report is not None:
                 reports[name] = report
         return reports
+
     reports = with_client(path, use, WAIT)
     if not reports:
         refuse_sorry(None)
@@ -36,22 +38,50 @@
     rows, data = [], []
     for one in best.members:
         own = reports.get(one.name)
-        row = {"name": one.name, "address": one.address, "votes": one.votes, "role": own.role if own else "silent",
-               "term": own.term if own else None, "commit": own.commit if own else None,
-               "version": own.version if own else None, "ready": own.ready if own else None,
-               "in_touch": own.in_touch if own else None, "lag": best.last - one.match if one.match >= 0 else 0}
+        row = {
+            "name": one.name,
+            "address": one.address,
+            "votes": one.votes,
+            "role": own.role if own else "silent",
+            "term": own.term if own else None,
+            "commit": own.commit if own else None,
+            "version": own.version if own else None,
+            "ready": own.ready if own else None,
+            "in_touch": own.in_touch if own else None,
+            "lag": best.last - one.match if one.match >= 0 else 0,
+        }
         data.append(row)
-        rows.append([row["name"], row["address"], "voter" if one.votes else "learner", row["role"],
-                     *("-" if row[key] is None else row[key] for key in ("term", "commit", "version", "lag")),
-                     "-" if own is None else "catching up" if not own.ready else
-                     "ok" if own.in_touch else "no majority"])
-    show({"leader": best.leader, "members": data}, as_json, rows,
-         ("member", "address", "kind", "role", "term", "commit", "version", "lag", "state"))
+        rows.append(
+            [
+                row["name"],
+                row["address"],
+                "voter" if one.votes else "learner",
+                row["role"],
+                *(
+                    "-" if row[key] is None else row[key]
+                    for key in ("term", "commit", "version", "lag")
+                ),
+                "-"
+                if own is None
+                else "catching up"
+                if not own.ready
+                else "ok"
+                if own.in_touch
+                else "no majority",
+            ]
+        )
+    show(
+        {"leader": best.leader, "members": data},
+        as_json,
+        rows,
+        ("member", "address", "kind", "role", "term", "commit", "version", "lag", "state"),
+    )
 
 
 def _ask(path: str, what: object, as_json: bool, done: str) -> None:
     async def use(client, until):
         return await client.ask(what, until)
+
     reply = with_client(path, use, WAIT)
     refuse_sorry(reply)
     show({"ok": True, "index": reply.index}, as_json, [(done,)])
@@ -67,11 +97,17 @@
     from lifthinge.cli.common import stop
     from lifthinge.cluster import talk
     from lifthinge.operators import socket_address
+
     try:
         socket_address(address)
     except ValueError as error:
         stop(f"{address}: {error}")
-    _ask(path, talk.Change(name, address), as_json, f"{name} is a learner and votes once it has caught up")
+    _ask(
+        path,
+        talk.Change(name, address),
+        as_json,
+        f"{name} is a learner and votes once it has caught up",
+    )
 
 
 @members.command("remove")
@@ -81,6 +117,7 @@
 def members_remove(name: str, path: str, as_json: bool) -> None:
     """Removes a member; the one that leads may remove itself."""
     from lifthinge.cluster import talk
+
     _ask(path, talk.Change(name), as_json, f"{name} is no member any more")
 
 
@@ -91,4 +128,5 @@
 def members_transfer(name: str, path: str, as_json: bool) -> None:
     """Lets another member lead."""
     from lifthinge.cluster import talk
+
     _ask(path, talk.HandOver(name), as_json, f"{name} is asked to lead")
--- a/lifthinge/cli/root.py
+++ b/lifthinge/cli/root.py
@@ -1,18 +1,32 @@
 """`lifthinge`: groups of commands. Exit codes: 0 done, 1 it did not come out well, 2 what was given can't be used."""
+
 import importlib
 
 import click
 
 GROUPS = {  # command: module under lifthinge.cli, its function, what it is for
-    "run": ("run", "run", "Runs one controller, as `python -m lifthinge` does, with an operators' file."),
+    "run": (
+        "run",
+        "run",
+        "Runs one controller, as `python -m lifthinge` does, with an operators' file.",
+    ),
     "check": ("check", "check", "Checks an operators' file, or a document with --document."),
     "member": ("member", "member", "A member of the cluster that agrees on the configuration."),
     "members": ("members", "members", "Who the members are; adds, removes, lets another lead."),
     "agreed": ("agreed", "agreed", "The agreed document: propose, show, history, diff."),
     "store": ("store", "store", "Folders of members: verify."),
-    "capture": ("capture", "capture", "Captures: what a folder holds, and a copy with other names."),
-    "replay": ("replay", "replay", "Decides again on what a capture holds, and compares every turn."),
-    "drill": ("drill", "drill", "Long runs with failures, and whether all promises were kept.")}
+    "capture": (
+        "capture",
+        "capture",
+        "Captures: what a folder holds, and a copy with other names.",
+    ),
+    "replay": (
+        "replay",
+        "replay",
+        "Decides again on what a capture holds, and compares every turn.",
+    ),
+    "drill": ("drill", "drill", "Long runs with failures, and whether all promises were kept."),
+}
 
 
 class _Late(click.Group):
--- a/lifthinge/cli/store.py
+++ b/lifthinge/cli/store.py
@@ -1,4 +1,5 @@
 """`lifthinge store`."""
+
 from pathlib import Path
 
 import click
@@ -19,6 +20,7 @@
     from lifthinge.cluster.disk import replay
     from lifthinge.store.files import Files
     from lifthinge.store.store import Damage, survey
+
     if not Path(folder).is_dir():
         stop(f"{folder}: no such folder")
     found = survey(Files(Path(folder)))
@@ -27,7 +29,15 @@
         stop(f"{folder}/{read}", FAILED)
     image, cluster = read
     last = image.entries[-1].index if image.entries else image.snapshot.index
-    data = {"cluster": cluster.cluster if cluster else None, "member": cluster.member if cluster else None,
-            "term": image.term, "voted": image.voted, "snapshot": image.snapshot.index, "last": last,
-            "segments": found.last - found.first + 1, "torn_bytes": found.torn, "left_by_a_crash": len(found.stale)}
+    data = {
+        "cluster": cluster.cluster if cluster else None,
+        "member": cluster.member if cluster else None,
+        "term": image.term,
+        "voted": image.voted,
+        "snapshot": image.snapshot.index,
+        "last": last,
+        "segments": found.last - found.first + 1,
+        "torn_bytes": found.torn,
+        "left_by_a_crash": len(found.stale),
+    }
     show({"ok": True, **data}, as_json, data.items())
--- a/lifthinge/cluster/client.py
+++ b/lifthinge/cluster/client.py
@@ -1,4 +1,5 @@
 """Asks the members: finds who leads, and repeats under the same number until it is known what became of it."""
+
 import asyncio
 from typing import Any, Optional, Union
 
@@ -13,8 +14,8 @@
 from lifthinge.memory.books import Books
 from lifthinge.wire.connection import connect
 
-ANSWER_WAIT = 10_000.0      # ms for one answer, beyond the member's own limit
-ASIDE = 20.0, 250.0         # ms between tries, the longer the more have failed
+ANSWER_WAIT = 10_000.0  # ms for one answer, beyond the member's own limit
+ASIDE = 20.0, 250.0  # ms between tries, the longer the more have failed
 Address = tuple[str, int]
 
 
@@ -25,7 +26,7 @@
         self.books, self.link = books, link
         self._number = 0
         self._waiting: dict[int, asyncio.Future] = {}
-        self.told: Optional[asyncio.Queue] = None       # what comes after the first answer of a Follow
+        self.told: Optional[asyncio.Queue] = None  # what comes after the first answer of a Follow
         link.heard, link.closed = self._heard, self._closed
 
     def _heard(self, link: Link, body: bytes) -> None:
@@ -63,13 +64,17 @@
         self.link.abort()
 
 
-async def call(books: Books, where: Address, cluster: str, name: str, keys: KeyFile) -> Optional[Call]:
+async def call(
+    books: Books, where: Address, cluster: str, name: str, keys: KeyFile
+) -> Optional[Call]:
     """A connection to a member, both sides known; None if there is none to be had."""
+
     def make() -> Link:
         link = Link(books, lambda role: keys.now(), cluster, name, role="client", dials="member")
         link.opened = lambda link: met.done() or met.set_result(True)
         link.closed = lambda link: met.done() or met.set_result(False)
         return link
+
     met = asyncio.get_running_loop().create_future()
     link = await connect(books, make, where)
     if isinstance(link, Failure):
@@ -80,8 +85,16 @@
 class AgreedClient:
     """Goes from member to member until one answers; `members` are addresses by name, as the asker reaches them."""
 
-    def __init__(self, books: Books, members: dict[str, Address], cluster: str, name: str, keys: KeyFile) -> None:
-        self.books, self.members, self.cluster, self.name, self.keys = books, members, cluster, name, keys
+    def __init__(
+        self, books: Books, members: dict[str, Address], cluster: str, name: str, keys: KeyFile
+    ) -> None:
+        self.books, self.members, self.cluster, self.name, self.keys = (
+            books,
+            members,
+            cluster,
+            name,
+            keys,
+        )
         self._call: Optional[Call] = None
         self._at = ""
         self.session, self.number = 0, 0
@@ -100,7 +113,9 @@
         if self._call is None or self._call.link.lost:
             if not hint:
                 self._at = self.books.dice.choice(sorted(self.members))
-            self._call = await call(self.books, self.members[self._at], self.cluster, self.name, self.keys)
+            self._call = await call(
+                self.books, self.members[self._at], self.cluster, self.name, self.keys
+            )
         return self._call
 
     async def ask(self, what: talk.Ask, until: float) -> Optional[talk.Reply]:
@@ -121,11 +136,14 @@
             if reply is None or not hint:
                 self.close()
             if failed > 1 or not hint:
-                await self.books.pause(min(ASIDE[0] * failed, ASIDE[1]) * (0.5 + self.books.dice.random()))
+                await self.books.pause(
+                    min(ASIDE[0] * failed, ASIDE[1]) * (0.5 + self.books.dice.random())
+                )
         return last
 
-    async def propose(self, document: dict[str, Any], on: int, author: str, at: float, until: float
-                      ) -> Union[Accepted, Outdated, Unusable, Sorry, None]:
+    async def propose(
+        self, document: dict[str, Any], on: int, author: str, at: float, until: float
+    ) -> Union[Accepted, Outdated, Unusable, Sorry, None]:
         """Proposes a document in place of version `on`; takes effect once, however often it is sent."""
         if not self.session:
             opened = await self.ask(talk.Begin(self.books.dice.randbytes(8)), until)
@@ -137,5 +155,15 @@
         return await self.ask(Propose(self.session, self.number, on, at, author, body), until)
 
 
-_ELSEWHERE = {"not_leader", "catching up", "nobody leads who could say", "no answer in time", "its fate is unknown",
-              "another entry took its place", "busy", "changing", "not_ready", "no majority"}
+_ELSEWHERE = {
+    "not_leader",
+    "catching up",
+    "nobody leads who could say",
+    "no answer in time",
+    "its fate is unknown",
+    "another entry took its place",
+    "busy",
+    "changing",
+    "not_ready",
+    "no majority",
+}
--- a/lifthinge/cluster/disk.py
+++ b/lifthinge/cluster/disk.py
@@ -12,6 +12,7 @@
 (b's', [], 3)
 >>> disk.store.close()
 """
+
 import asyncio
 from pathlib import Path
 from queue import SimpleQueue
@@ -26,7 +27,7 @@
 from lifthinge.store.files import Files
 from lifthinge.store.store import Damage, Store
 
-VOTE, CUT, ENTRY, BEGIN = 1, 2, 3, 4      # kinds of records
+VOTE, CUT, ENTRY, BEGIN = 1, 2, 3, 4  # kinds of records
 
 
 class _Vote(msgspec.Struct, array_like=True):
@@ -36,13 +37,17 @@
 
 class Cluster(msgspec.Struct, array_like=True):
     """What a folder is for, written when it is begun: it is never taken for another's."""
+
     cluster: str
     member: str
     roster: Roster
 
 
 _vote, _entry = msgspec.msgpack.Decoder(_Vote), msgspec.msgpack.Decoder(Entry)
-_snapshot, _cluster = msgspec.msgpack.Decoder(tuple[Union[Cluster, None], Snapshot]), msgspec.msgpack.Decoder(Cluster)
+_snapshot, _cluster = (
+    msgspec.msgpack.Decoder(tuple[Union[Cluster, None], Snapshot]),
+    msgspec.msgpack.Decoder(Cluster),
+)
 _encode = msgspec.msgpack.Encoder().encode
 
 
@@ -66,7 +71,9 @@
                 self._append(write)
             else:
                 if write.voting or write.entries or write.cut is not None:
-                    self._append(write)     # what the snapshot supersedes is told first, and dropped with it
+                    self._append(
+                        write
+                    )  # what the snapshot supersedes is told first, and dropped with it
                 self.image.take(write)
                 kept = [(VOTE, _encode(_Vote(self.image.term, self.image.voted)))]
                 kept += [(ENTRY, _encode(one)) for one in self.image.entries]
@@ -100,8 +107,9 @@
     return Disk(store, *read)
 
 
-def replay(snapshot: Union[bytes, None], records: Iterable[tuple[int, bytes]]
-           ) -> Union[tuple[Image, Union[Cluster, None]], Damage]:
+def replay(
+    snapshot: Union[bytes, None], records: Iterable[tuple[int, bytes]]
+) -> Union[tuple[Image, Union[Cluster, None]], Damage]:
     """What a snapshot and the records after it come to."""
     image, cluster, place = Image(), None, 0
     try:
@@ -129,7 +137,9 @@
 class Committer:
     """Carries out writes on a thread of its own: what comes while a sync is under way goes with the next one."""
 
-    def __init__(self, disk: Disk, done: Callable[[int], None], failed: Callable[[Exception], None]) -> None:
+    def __init__(
+        self, disk: Disk, done: Callable[[int], None], failed: Callable[[Exception], None]
+    ) -> None:
         self.disk, self._done, self._failed = disk, done, failed
         self._waiting: list[Write] = []
         self._busy = self._closed = False
@@ -160,7 +170,7 @@
                 error = found
             try:
                 self._loop.call_soon_threadsafe(self._ended, error, batch[-1].number)
-            except RuntimeError:    # the loop is closed: nobody waits any more
+            except RuntimeError:  # the loop is closed: nobody waits any more
                 return
 
     def _ended(self, error: Optional[Exception], number: int) -> None:
--- a/lifthinge/cluster/follower.py
+++ b/lifthinge/cluster/follower.py
@@ -1,4 +1,5 @@
 """A front end's or controller's side: follows the agreed document from whichever member is current, and never goes back."""
+
 import asyncio
 import logging
 from typing import Callable, Optional
@@ -10,20 +11,33 @@
 from lifthinge.memory.books import Books
 
 log = logging.getLogger(__name__)
-ANSWER_WAIT = 1_500.0       # ms until a member that says nothing is left for another
-LOOK_EVERY = 2_000.0        # ms between questions whether the member is still current
-ASIDE = 100.0, 1_000.0      # ms until the next member is tried
-TOLD_MOST = 64              # documents not yet taken in; the latest of them counts
+ANSWER_WAIT = 1_500.0  # ms until a member that says nothing is left for another
+LOOK_EVERY = 2_000.0  # ms between questions whether the member is still current
+ASIDE = 100.0, 1_000.0  # ms until the next member is tried
+TOLD_MOST = 64  # documents not yet taken in; the latest of them counts
 
 
 class AgreedFollower:
     """`told` is called with each document that may be obeyed, in their order."""
 
-    def __init__(self, books: Books, members: dict[str, tuple[str, int]], cluster: str, name: str, keys: KeyFile,
-                 told: Callable[[talk.Shown], None]) -> None:
-        self.books, self.members, self.cluster, self.name, self.keys = books, members, cluster, name, keys
+    def __init__(
+        self,
+        books: Books,
+        members: dict[str, tuple[str, int]],
+        cluster: str,
+        name: str,
+        keys: KeyFile,
+        told: Callable[[talk.Shown], None],
+    ) -> None:
+        self.books, self.members, self.cluster, self.name, self.keys = (
+            books,
+            members,
+            cluster,
+            name,
+            keys,
+        )
         self.told, self.fence = told, Fence()
-        self.current = False        # a member that hears a majority vouches for what is held
+        self.current = False  # a member that hears a majority vouches for what is held
         self._call: Optional[Call] = None
 
     async def run(self) -> None:
@@ -31,13 +45,20 @@
         names, place = sorted(self.members), self.books.dice.randrange(len(self.members))
         while True:
             place += 1
-            self._call = await call(self.books, self.members[names[place % len(names)]], self.cluster, self.name,
-                                    self.keys)
+            self._call = await call(
+                self.books,
+                self.members[names[place % len(names)]],
+                self.cluster,
+                self.name,
+                self.keys,
+            )
             if self._call is not None:
                 await self._follow(self._call)
                 self._call.close()
             if self.current:
-                self.books.notices.note("agreed_lost", member=names[place % len(names)], version_held=self.fence.held[1])
+                self.books.notices.note(
+                    "agreed_lost", member=names[place % len(names)], version_held=self.fence.held[1]
+                )
             self.current = False
             await self.books.pause(self.books.dice.uniform(*ASIDE))
 
--- a/lifthinge/cluster/keys.py
+++ b/lifthinge/cluster/keys.py
@@ -20,6 +20,7 @@
 >>> os.chmod(path, 0o600); _ = open(path, "a").write("x 12\\n"); read_keys(path).why
 'line 2: a key is 64 hexadecimal digits'
 """
+
 import os
 import stat
 from dataclasses import dataclass
@@ -31,6 +32,7 @@
 @dataclass(frozen=True, slots=True)
 class NoKeys:
     """Why a key file can't be used."""
+
     path: str
     why: str
 
--- a/lifthinge/cluster/link.py
+++ b/lifthinge/cluster/link.py
@@ -1,29 +1,51 @@
 """A connection between members, or from a client: hellos, then sealed frames both ways."""
+
 from typing import Callable, Optional
 
 from lifthinge.cluster.keys import Keys
 from lifthinge.cluster.sealing import (
-    FORM, FRAME_MOST, HEAD, HELLO_MOST, MAC, NONCE, Hello, Opener, Sealer, read_hello, sign, talk_of)
+    FORM,
+    FRAME_MOST,
+    HEAD,
+    HELLO_MOST,
+    MAC,
+    NONCE,
+    Hello,
+    Opener,
+    Sealer,
+    read_hello,
+    sign,
+    talk_of,
+)
 from lifthinge.memory.books import Books
 from lifthinge.wire.connection import Connection
 
-HELLO_WAIT = 1_000.0        # ms from connecting until both hellos have come
-SILENT_MOST = 60_000.0      # ms without a byte from a member or client
-OUTBOX_MOST = 16 << 20      # bytes that have not left; what comes beyond is not sent
+HELLO_WAIT = 1_000.0  # ms from connecting until both hellos have come
+SILENT_MOST = 60_000.0  # ms without a byte from a member or client
+OUTBOX_MOST = 16 << 20  # bytes that have not left; what comes beyond is not sent
 
 
 class Link(Connection):
     """`opened` is called once the other side is known, `heard` with each body, `closed` at the end, once each."""
+
     kind = "link"
     unread_most = OUTBOX_MOST + FRAME_MOST
 
-    def __init__(self, books: Books, keys: Callable[[str], Keys], cluster: str, name: str, role: str = "member",
-                 dials: str = "", expects: str = "") -> None:
+    def __init__(
+        self,
+        books: Books,
+        keys: Callable[[str], Keys],
+        cluster: str,
+        name: str,
+        role: str = "member",
+        dials: str = "",
+        expects: str = "",
+    ) -> None:
         super().__init__(books, FRAME_MOST + HEAD)
         self.keys, self.cluster, self.name, self.role, self.dials = keys, cluster, name, role, dials
-        self.expects = expects          # who must answer; empty: whoever holds the key
-        self.hello: Optional[Hello] = None      # ours
-        self.other: Optional[Hello] = None      # theirs
+        self.expects = expects  # who must answer; empty: whoever holds the key
+        self.hello: Optional[Hello] = None  # ours
+        self.other: Optional[Hello] = None  # theirs
         self.opened: Callable[["Link"], None] = lambda link: None
         self.heard: Callable[["Link", bytes], None] = lambda link, body: None
         self.closed: Callable[["Link"], None] = lambda link: None
@@ -83,7 +105,11 @@
             return self._refuse(found)
         if found.cluster != self.cluster:
             return self._refuse("another cluster")
-        if found.role != role or found.receiver not in (self.name, "") or self.expects not in (found.sender, ""):
+        if (
+            found.role != role
+            or found.receiver not in (self.name, "")
+            or self.expects not in (found.sender, "")
+        ):
             return self._refuse("meant for another")
         self.other = found
         if not self.dials:
@@ -99,12 +125,19 @@
         return None
 
     def _refuse(self, why: str) -> None:
-        self.books.notices.note("link_refused", why=why, peer=self.other.sender if self.other else "unknown")
+        self.books.notices.note(
+            "link_refused", why=why, peer=self.other.sender if self.other else "unknown"
+        )
         self.abort()
 
     def say(self, body: bytes) -> bool:
         """Sends one body; False if it can't be sent now, which a sender must bear."""
-        if self._sealer is None or self.lost or self.transport is None or self.transport.is_closing():
+        if (
+            self._sealer is None
+            or self.lost
+            or self.transport is None
+            or self.transport.is_closing()
+        ):
             return False
         if self.transport.get_write_buffer_size() > OUTBOX_MOST:
             self.books.counters.add("link.outbox_full")
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -1,4 +1,5 @@
 """A member of the cluster on sockets: drives the protocol, the disk and the agreed state, and answers clients."""
+
 import asyncio
 import logging
 from collections import deque
@@ -25,37 +26,39 @@
 log = logging.getLogger(__name__)
 Address = tuple[str, int]
 
-REDIAL = 100.0, 1_000.0         # ms until a member that can't be reached is tried again
-ASK_WAIT = 8_000.0              # ms until a client hears that the fate of its proposal is unknown
-READ_WAIT = 3_000.0             # ms that a read may wait for a round and for what is to be applied
-TOUCH_LEAST = 2.0               # election time-outs without a majority: then it says so
+REDIAL = 100.0, 1_000.0  # ms until a member that can't be reached is tried again
+ASK_WAIT = 8_000.0  # ms until a client hears that the fate of its proposal is unknown
+READ_WAIT = 3_000.0  # ms that a read may wait for a round and for what is to be applied
+TOUCH_LEAST = 2.0  # election time-outs without a majority: then it says so
 CLIENTS_MOST, ASKS_MOST, ASKS_EACH = 2_000, 8_192, 512
-SNAPSHOT_BYTES = 20 << 20       # of the log held: time for a snapshot, however few entries they are
-SNAPSHOT_LATEST = 3.0           # times that, while one is on its way to a member
+SNAPSHOT_BYTES = 20 << 20  # of the log held: time for a snapshot, however few entries they are
+SNAPSHOT_LATEST = 3.0  # times that, while one is on its way to a member
 HISTORY_PAGE = 200
-KEPT_MOST = 16                  # messages to a member that is being dialled
-CATCH_UP_EVERY = 200.0          # ms between a fresh member's questions to the leader
+KEPT_MOST = 16  # messages to a member that is being dialled
+CATCH_UP_EVERY = 200.0  # ms between a fresh member's questions to the leader
 
 
 @dataclass(frozen=True)
 class Seat:
     """Which member this is, of which cluster."""
+
     cluster: str
     name: str
     listen: Address
     pace: Pace
     keys: Callable[[str], Keys]
-    snapshot_entries: int = 20_000      # behind the last snapshot: time for another
+    snapshot_entries: int = 20_000  # behind the last snapshot: time for another
 
 
 @dataclass(eq=False, slots=True)
 class _Ask:
     """A client's question under way."""
+
     link: Link
     number: int
     deadline: Any = None
     term: int = 0
-    sent: bool = False      # it is in the log
+    sent: bool = False  # it is in the log
 
 
 class MemberServer:
@@ -66,31 +69,33 @@
         self.raft = Raft(seat.name, books.dice, books.now, disk.image.saved(), seat.pace)
         self.state = Agreed()
         self.committer = Committer(disk, self._durable, lambda error: self._fail(f"disk: {error}"))
-        self.ready = False          # it has applied what was committed when it first asked
+        self.ready = False  # it has applied what was committed when it first asked
         self.in_touch = True
         self.removed = False
         self._in: dict[Link, None] = {}
-        self._out: dict[str, Link] = {}             # by member: the link that we dialled
-        self._from: dict[str, Link] = {}            # by member: the latest that it dialled
+        self._out: dict[str, Link] = {}  # by member: the link that we dialled
+        self._from: dict[str, Link] = {}  # by member: the latest that it dialled
         self._dialling: set[str] = set()
-        self._kept: dict[str, deque[messages.Message]] = {}     # said while a member is being dialled
+        self._kept: dict[str, deque[messages.Message]] = {}  # said while a member is being dialled
         self._dial_wait: dict[str, float] = {}
-        self._followers: dict[Link, int] = {}       # front ends: the number of their question
-        self._each: dict[Link, int] = {}            # asks under way, by client
+        self._followers: dict[Link, int] = {}  # front ends: the number of their question
+        self._each: dict[Link, int] = {}  # asks under way, by client
         self._asks = 0
         self._proposed: dict[int, list[_Ask]] = {}  # by index
         self._reads: dict[_Ask, talk.Show] = {}
-        self._to_apply: list[tuple[int, object]] = []       # reads that wait until this index is applied
+        self._to_apply: list[tuple[int, object]] = []  # reads that wait until this index is applied
         self._turn_due = self._over = False
         self._tick: Any = None
         self._server: Optional[asyncio.Server] = None
         self._tasks: set[asyncio.Task] = set()
         self._catching_up = False
         self._role = Role.FOLLOWER
-        self._told = 0              # index of the version that front ends were told last
+        self._told = 0  # index of the version that front ends were told last
 
     async def start(self) -> None:
-        self._server = await asyncio.get_running_loop().create_server(self._accept, *self.seat.listen, backlog=512)
+        self._server = await asyncio.get_running_loop().create_server(
+            self._accept, *self.seat.listen, backlog=512
+        )
         self._turn()
         self._catch_up()
         self._look_around()
@@ -179,10 +184,17 @@
 
     def _note_role(self) -> None:
         if self.raft.role is not self._role and Role.LEADER in (self.raft.role, self._role):
-            log.info("leads" if self.raft.role is Role.LEADER else "leads_no_more", {"term": self.raft.term})
+            log.info(
+                "leads" if self.raft.role is Role.LEADER else "leads_no_more",
+                {"term": self.raft.term},
+            )
         self._role = self.raft.role
         roster = self.raft.log.roster
-        if roster.members and not roster.get(self.seat.name) and self.raft.commit >= self.raft.log.roster_index:
+        if (
+            roster.members
+            and not roster.get(self.seat.name)
+            and self.raft.commit >= self.raft.log.roster_index
+        ):
             if not self.removed:
                 log.warning("removed", {"member": self.seat.name})
             self.removed = True
@@ -193,8 +205,11 @@
         touch = self.raft.in_touch(self.books.now, TOUCH_LEAST * self.seat.pace.election)
         if touch != self.in_touch:
             self.in_touch = touch
-            log.log(logging.INFO if touch else logging.WARNING, "in_touch" if touch else "no_majority",
-                    {"version": self.state.version, "term": self.raft.term})
+            log.log(
+                logging.INFO if touch else logging.WARNING,
+                "in_touch" if touch else "no_majority",
+                {"version": self.state.version, "term": self.raft.term},
+            )
 
     # Applying.
 
@@ -206,7 +221,9 @@
                 self.state.passed(one.index, one.term)
             for index in [index for index in self._proposed if index <= one.index]:
                 for ask in self._proposed.pop(index):
-                    self._answer(ask, Sorry("its fate is unknown", may_have_run=True, **self._leader()))
+                    self._answer(
+                        ask, Sorry("its fate is unknown", may_have_run=True, **self._leader())
+                    )
             return
         if one.kind is Kind.COMMAND:
             answer = self.state.apply(one.index, one.term, one.data)
@@ -214,8 +231,12 @@
             self.state.passed(one.index, one.term)
             answer = talk.Done(one.index)
         for ask in self._proposed.pop(one.index, ()):
-            self._answer(ask, answer if ask.term == one.term else Sorry("another entry took its place",
-                                                                       **self._leader()))
+            self._answer(
+                ask,
+                answer
+                if ask.term == one.term
+                else Sorry("another entry took its place", **self._leader()),
+            )
 
     def _compact(self) -> None:
         behind, size = self.state.index - self.raft.log.snapshot.index, self.raft.log.bytes
@@ -244,19 +265,26 @@
             self._answer(ask, Sorry("nobody leads who could say", **self._leader()))
         elif type(show) is talk.History:
             later = [one for one in self.state.versions if one.version >= show.since]
-            self._answer(ask, talk.Versions(tuple(talk.shown(one, body=False) for one in later[:HISTORY_PAGE])))
+            self._answer(
+                ask,
+                talk.Versions(tuple(talk.shown(one, body=False) for one in later[:HISTORY_PAGE])),
+            )
         elif show.version is None:
             self._answer(ask, talk.shown(self.state.latest))
         else:
             found = next((one for one in self.state.versions if one.version == show.version), None)
-            self._answer(ask, talk.shown(found) if found else Sorry(f"version {show.version} is not kept"))
+            self._answer(
+                ask, talk.shown(found) if found else Sorry(f"version {show.version} is not kept")
+            )
 
     # Catching up after a start.
 
     def _catch_up(self) -> None:
         if self.ready or self._over:
             return
-        if not self._catching_up and not isinstance(self.raft.read("catch-up", self.books.now), Refused):
+        if not self._catching_up and not isinstance(
+            self.raft.read("catch-up", self.books.now), Refused
+        ):
             self._catching_up = True
             self.books.deadlines.set(READ_WAIT, self._catch_up_late)
             self._wake()
@@ -271,7 +299,9 @@
         self._catching_up = False
         if index >= 0 and not self.ready:
             self.ready = True
-            log.info("caught_up", {"index": index, "version": self.state.version, "term": self.raft.term})
+            log.info(
+                "caught_up", {"index": index, "version": self.state.version, "term": self.raft.term}
+            )
             self._tell_followers()
 
     # Members.
@@ -279,7 +309,9 @@
     def _say(self, to: str, message: messages.Message) -> None:
         link = self._out.get(to)
         if link is None and to in self._from and self.raft.log.roster.get(to) is None:
-            link = self._from[to]       # a newcomer knows nobody's address yet: it answers where it was asked
+            link = self._from[
+                to
+            ]  # a newcomer knows nobody's address yet: it answers where it was asked
         if link is not None and not link.lost:
             if link.say(messages.encode(message)):
                 self.books.counters.add("member.sent")
@@ -293,7 +325,11 @@
 
     def _reach(self, to: str) -> None:
         """Dials a member that no link goes to, unless that failed just now."""
-        if to not in self._dialling and to not in self._out and self.books.now >= self._dial_wait.get(to, 0.0):
+        if (
+            to not in self._dialling
+            and to not in self._out
+            and self.books.now >= self._dial_wait.get(to, 0.0)
+        ):
             self._dialling.add(to)
             task = asyncio.get_running_loop().create_task(self._dial(to))
             self._tasks.add(task)
@@ -301,11 +337,23 @@
 
     async def _dial(self, to: str) -> None:
         member = self.raft.log.roster.get(to) or next(
-            (one for _, roster in self.raft.log.rosters for one in roster.members if one.name == to), None)
+            (
+                one
+                for _, roster in self.raft.log.rosters
+                for one in roster.members
+                if one.name == to
+            ),
+            None,
+        )
         try:
             address = member.address.rsplit(":", 1) if member else None
-            found = await connect(self.books, lambda: self._link(dials=to), (address[0], int(address[1]))
-                                  ) if address else None
+            found = (
+                await connect(
+                    self.books, lambda: self._link(dials=to), (address[0], int(address[1]))
+                )
+                if address
+                else None
+            )
             if found is None or isinstance(found, Failure):
                 self.books.counters.add("member.unreachable")
                 self._redial_later(to)
@@ -319,7 +367,14 @@
         self._dial_wait[to] = self.books.now + self.books.dice.uniform(*REDIAL)
 
     def _link(self, dials: str = "") -> Link:
-        link = Link(self.books, self.seat.keys, self.seat.cluster, self.seat.name, dials=dials, expects=dials)
+        link = Link(
+            self.books,
+            self.seat.keys,
+            self.seat.cluster,
+            self.seat.name,
+            dials=dials,
+            expects=dials,
+        )
         link.opened, link.heard, link.closed = self._opened, self._heard, self._closed
         return link
 
@@ -340,7 +395,7 @@
                 link.say(messages.encode(message))
         elif link.other.role == "member":
             self._from[link.other.sender] = link
-            self._dial_wait.pop(link.other.sender, None)    # it is back
+            self._dial_wait.pop(link.other.sender, None)  # it is back
 
     def _closed(self, link: Link) -> None:
         self._in.pop(link, None)
@@ -369,7 +424,9 @@
         else:
             try:
                 self.raft.step(link.other.sender, message, self.books.now)
-            except AssertionError as error:     # a promise of the protocol is broken: nothing may build on it
+            except (
+                AssertionError
+            ) as error:  # a promise of the protocol is broken: nothing may build on it
                 self._fail(f"protocol: {error}")
                 return
         self._wake()
@@ -399,25 +456,34 @@
         self._each[link] = self._each.get(link, 0) + 1
         self._asks += 1
         ask.deadline = self.books.deadlines.set(
-            READ_WAIT if type(what) in (talk.Show, talk.History) else ASK_WAIT, lambda: self._given_up(ask))
+            READ_WAIT if type(what) in (talk.Show, talk.History) else ASK_WAIT,
+            lambda: self._given_up(ask),
+        )
         if type(what) in (talk.Show, talk.History):
             self._reads[ask] = what
             self._settle(ask, self.raft.read(ask, self.books.now))
         elif type(what) is talk.HandOver:
             refused = self.raft.hand_over(what.target, self.books.now)
-            self._settle(ask, refused) if refused else self._answer(ask, talk.Done(self.raft.commit))
+            self._settle(ask, refused) if refused else self._answer(
+                ask, talk.Done(self.raft.commit)
+            )
         elif type(what) is talk.Change:
             self._settle(ask, self.raft.change(what.name, what.address, self.books.now))
         elif type(what) is talk.Begin:
-            self._settle(ask, self.raft.propose(pack_command(OpenSession(what.nonce)), self.books.now))
+            self._settle(
+                ask, self.raft.propose(pack_command(OpenSession(what.nonce)), self.books.now)
+            )
         else:
             self._propose(ask, what)
 
     def _propose(self, ask: _Ask, what: Propose) -> None:
         """Only a document that can be used goes to the log."""
         try:
-            found = read_document(msgspec.msgpack.decode(what.body)) if len(what.body) <= BODY_MOST else Fault(
-                "document", "too large")
+            found = (
+                read_document(msgspec.msgpack.decode(what.body))
+                if len(what.body) <= BODY_MOST
+                else Fault("document", "too large")
+            )
         except (msgspec.DecodeError, RecursionError) as error:
             found = Fault("document", str(error))
         if isinstance(found, Fault):
@@ -437,8 +503,11 @@
     def _given_up(self, ask: _Ask) -> None:
         if self._reads.pop(ask, None) is not None:
             self.raft.give_up(ask)
-        self._proposed = {index: left for index, asks in self._proposed.items()
-                          if (left := [one for one in asks if one is not ask])}
+        self._proposed = {
+            index: left
+            for index, asks in self._proposed.items()
+            if (left := [one for one in asks if one is not ask])
+        }
         self._to_apply = [one for one in self._to_apply if one[1] is not ask]
         self.books.counters.add("member.given_up")
         self._answer(ask, Sorry("no answer in time", may_have_run=ask.sent, **self._leader()))
@@ -459,8 +528,12 @@
         """A front end is taken on by a member that is current; it never hears an older document than it holds."""
         latest = self.state.latest
         if not self.ready or not self.in_touch or self.removed:
-            ask.link.say(talk.pack(ask.number, Sorry("no majority" if self.ready else "catching up",
-                                                     **self._leader())))
+            ask.link.say(
+                talk.pack(
+                    ask.number,
+                    Sorry("no majority" if self.ready else "catching up", **self._leader()),
+                )
+            )
         elif latest is not None and (latest.term, latest.index) < what.held:
             ask.link.say(talk.pack(ask.number, Sorry("behind what you hold", **self._leader())))
         else:
@@ -475,18 +548,42 @@
         reply = talk.shown(latest)
         for link, number in list(self._followers.items()):
             if not link.say(talk.pack(number, reply)):
-                link.abort()        # too slow for its own good: it asks anew, and hears the latest
+                link.abort()  # too slow for its own good: it asks anew, and hears the latest
 
     def _report(self) -> talk.Report:
         raft, now = self.raft, self.books.now
         views = []
         for one in raft.log.roster.members:
             seen = raft.progress.get(one.name)
-            views.append(talk.MemberView(one.name, one.address, one.votes, seen.match if seen else -1,
-                                         now - seen.heard_at if seen else -1.0))
+            views.append(
+                talk.MemberView(
+                    one.name,
+                    one.address,
+                    one.votes,
+                    seen.match if seen else -1,
+                    now - seen.heard_at if seen else -1.0,
+                )
+            )
         return talk.Report(
-            self.seat.name, raft.role.name.lower(), raft.term, raft.leader or "", raft.commit, raft.log.last_index,
-            raft.log.snapshot.index, self.state.version, self.state.digest, self.ready, self.in_touch, tuple(views),
-            {"elections": raft.elections, "stepped_down": raft.stepped_down, "syncs": self.committer.disk.store.syncs,
-             "batches": self.committer.batches, "writes": self.committer.writes,
-             "followers": len(self._followers), "asks": self._asks})
+            self.seat.name,
+            raft.role.name.lower(),
+            raft.term,
+            raft.leader or "",
+            raft.commit,
+            raft.log.last_index,
+            raft.log.snapshot.index,
+            self.state.version,
+            self.state.digest,
+            self.ready,
+            self.in_touch,
+            tuple(views),
+            {
+                "elections": raft.elections,
+                "stepped_down": raft.stepped_down,
+                "syncs": self.committer.disk.store.syncs,
+                "batches": self.committer.batches,
+                "writes": self.committer.writes,
+                "followers": len(self._followers),
+                "asks": self._asks,
+            },
+        )
--- a/lifthinge/cluster/sealing.py
+++ b/lifthinge/cluster/sealing.py
@@ -16,6 +16,7 @@
 >>> read_hello(sign(hello, key), {"new": key}), read_hello(sign(hello, key), {"old": key})
 (Hello(form=1, cluster='c', sender='a', receiver='b', role='member', key='new', nonce=b'nnnnnnnnnnnnnnnn'), 'unknown key')
 """
+
 import hmac
 from typing import Union
 
@@ -33,7 +34,7 @@
     cluster: str
     sender: str
     receiver: str
-    role: str           # "member" or "client"
+    role: str  # "member" or "client"
     key: str
     nonce: bytes
 
@@ -103,4 +104,8 @@
     def open(self, frame: bytes) -> Union[bytes, None]:
         """The body of a frame without its length; None if it does not fit here and now."""
         body = frame[MAC:]
-        return body if len(frame) > MAC and hmac.compare_digest(frame[:MAC], self._next(body)) else None
+        return (
+            body
+            if len(frame) > MAC and hmac.compare_digest(frame[:MAC], self._next(body))
+            else None
+        )
--- a/lifthinge/cluster/talk.py
+++ b/lifthinge/cluster/talk.py
@@ -1,4 +1,5 @@
 """What clients ask a member, and what they are answered: MessagePack in sealed frames, numbered by the asker."""
+
 from typing import Optional, Union
 
 import msgspec
@@ -8,16 +9,19 @@
 
 class Begin(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """Opens a session, within which proposals are numbered."""
+
     nonce: bytes
 
 
 class Show(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """The document that stands now, agreed by a majority; `version` asks for one of before."""
+
     version: Optional[int] = None
 
 
 class History(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """Versions from `since` on, without their bodies; as many as fit."""
+
     since: int = 0
 
 
@@ -27,6 +31,7 @@
 
 class Change(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """Adds a member, or removes it where no address is given."""
+
     name: str
     address: Optional[str] = None
 
@@ -37,6 +42,7 @@
 
 class Follow(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """A front end: the document that stands, then each that follows. `held`: term and index that it obeys."""
+
     held: tuple[int, int] = (0, 0)
 
 
@@ -45,6 +51,7 @@
 
 class Sorry(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """Refused, at once: why, and who leads. `may_have_run`: it went to the log, and what became of it is unknown."""
+
     why: str
     leader: str = ""
     address: str = ""
@@ -61,11 +68,13 @@
 
 class Done(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """A change of members stands."""
+
     index: int
 
 
 class MemberView(msgspec.Struct, array_like=True, frozen=True):
     """A member as the one asked sees it; `match` and `heard_ms` only where that one leads."""
+
     name: str
     address: str
     votes: bool
@@ -75,6 +84,7 @@
 
 class Report(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """How a member sees the cluster."""
+
     name: str
     role: str
     term: int
@@ -92,7 +102,10 @@
 
 Reply = Union[Opened, Accepted, Outdated, Unusable, Sorry, Shown, Versions, Done, Report]
 
-_asks, _replies = msgspec.msgpack.Decoder(tuple[int, Ask]), msgspec.msgpack.Decoder(tuple[int, Reply])
+_asks, _replies = (
+    msgspec.msgpack.Decoder(tuple[int, Ask]),
+    msgspec.msgpack.Decoder(tuple[int, Reply]),
+)
 _encoder = msgspec.msgpack.Encoder()
 
 
@@ -117,5 +130,12 @@
     """
     if version is None:
         return Shown(0, 0, 0, 0.0, "", b"", b"")
-    return Shown(version.version, version.term, version.index, version.at, version.author,
-                 version.body if body else b"", version.digest)
+    return Shown(
+        version.version,
+        version.term,
+        version.index,
+        version.at,
+        version.author,
+        version.body if body else b"",
+        version.digest,
+    )
--- a/lifthinge/histogram.py
+++ b/lifthinge/histogram.py
@@ -1,4 +1,5 @@
 """A small histogram of a few coarse bins; its owner gives the edges."""
+
 from bisect import bisect_right
 
 
@@ -38,4 +39,4 @@
     def share_from(self, edge: float) -> float:
         """Share of the count in bins that start at `edge` or above; 0 when nothing is counted."""
         total = self.total()
-        return sum(self.bins[bisect_right(self.edges, edge):]) / total if total else 0.0
+        return sum(self.bins[bisect_right(self.edges, edge) :]) / total if total else 0.0
--- a/lifthinge/interface.py
+++ b/lifthinge/interface.py
@@ -5,6 +5,7 @@
 milliseconds. Backends, slices and proxies are objects that the adapter makes once for each instance;
 their ids mean nothing to the decisions.
 """
+
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
 from typing import Any, Optional, Union
@@ -15,6 +16,7 @@
 
 class Phase(Enum):
     """What discovery says of a backend's process."""
+
     GONE = "gone"
     READY = "ready"
     DRAINING = "draining"
@@ -22,6 +24,7 @@
 
 class Form(Enum):
     """What a piece of fleet news holds."""
+
     DELTA = "delta"
     FULL = "full"
     CACHED = "cached"
@@ -30,16 +33,18 @@
 
 class Outcome(Enum):
     """What a probe found."""
+
     OK = "ok"
-    ABORTED = "aborted"             # answered with an error
+    ABORTED = "aborted"  # answered with an error
     PUSHED_BACK = "pushed_back"
-    LATE = "late"                   # no answer in time
+    LATE = "late"  # no answer in time
     UNREACHABLE = "unreachable"
     BROKEN = "broken"
 
 
 class Retry(IntEnum):
     """Further tries that a proxy makes at other lines of a table."""
+
     NEVER = 0
     NEVER_RAN = 1
     ONCE = 2
@@ -49,6 +54,7 @@
 @dataclass(frozen=True)
 class Method:
     """What one method's RPCs are worth, and until when."""
+
     soft_deadline: float
     deadline: float
     criticality: float
@@ -57,36 +63,40 @@
 @dataclass(frozen=True)
 class SiteTerms:
     """What a site fixes for the day."""
+
     methods: tuple[Method, ...]
     sliced: bool
     one_owner: bool
     news_on_request: bool
     sizes_told: bool
-    levels: str                 # "ratio", "rps" or "silent"
+    levels: str  # "ratio", "rps" or "silent"
     report_every: float
-    channel_rate: float         # lines a millisecond
+    channel_rate: float  # lines a millisecond
     head_lines: float
     pending_max: float
     pushes_allowed: int
     update_window: float
     warm_up: float
-    transit_max: float = 2_000.0    # the longest way of a message from the channel to a proxy, and into force
-    proxies: int = 1            # of the site; where it is sliced, each joins every instance
+    transit_max: float = (
+        2_000.0  # the longest way of a message from the channel to a proxy, and into force
+    )
+    proxies: int = 1  # of the site; where it is sliced, each joins every instance
 
 
 @dataclass(eq=False, slots=True)
 class Backend:
     """A backend as listed, and the working memory that the decisions keep of it."""
+
     ep: Any
     name: str
     zone: int = 0
     phase: Phase = Phase.GONE
-    listed: Phase = Phase.GONE                 # as discovery says; `phase` is draining if it is out by hand, too
+    listed: Phase = Phase.GONE  # as discovery says; `phase` is draining if it is out by hand, too
     told_size: float = 1.0
     started: float = 0.0
     size: float = 1.0
     # working memory
-    shut_out: bool = False                     # present state: withdrawn from the joined proxies
+    shut_out: bool = False  # present state: withdrawn from the joined proxies
     lows: Lowest = field(default_factory=Lowest)
     ratio: Optional[float] = None
     heard_at: Optional[float] = None
@@ -95,43 +105,50 @@
     aborted: float = 0.0
     asked: float = 0.0
     took_sum: float = 0.0
-    low: float = 1.0                           # the lowest latency of the last minute
-    took: float = 0.0                          # mean latency of the tries of late
-    late: tuple[float, float] = (0.0, 0.0)     # those that went well, and the sum of their latencies, halved
-    outcomes: Histogram = field(default_factory=lambda: Histogram((0.5,)))     # 0 went well, 1 went wrong
+    low: float = 1.0  # the lowest latency of the last minute
+    took: float = 0.0  # mean latency of the tries of late
+    late: tuple[float, float] = (
+        0.0,
+        0.0,
+    )  # those that went well, and the sum of their latencies, halved
+    outcomes: Histogram = field(
+        default_factory=lambda: Histogram((0.5,))
+    )  # 0 went well, 1 went wrong
     shut_until: float = 0.0
     trips: int = 0
-    slow: float = 0.0                          # mean latency of late, smoothed
-    on_trial: bool = False                     # was shut, and has not answered well since
-    dry: float = 0.0                           # asked since a try last went well
+    slow: float = 0.0  # mean latency of late, smoothed
+    on_trial: bool = False  # was shut, and has not answered well since
+    dry: float = 0.0  # asked since a try last went well
     eased_from: Optional[float] = None
     ease_span: float = 1.0
     heat: float = 0.0
-    home_heat: float = 0.0                     # of the slices that it owns, wherever they are served
+    home_heat: float = 0.0  # of the slices that it owns, wherever they are served
     spare_heat: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
 class Slice:
     """A slice of the key space (or, where there are none, a table), and its working memory."""
+
     number: int
     held: bool = False
     lines: dict = field(default_factory=dict)  # present state: backend -> weight
     owner: Optional[Backend] = None
     wanted: dict = field(default_factory=dict)  # backend -> part of the slice's RPCs
-    owed: list = field(default_factory=list)   # lines that bring the present state to the wanted one
-    shifts: bool = False                       # whether those shift RPCs, or only stand by
+    owed: list = field(default_factory=list)  # lines that bring the present state to the wanted one
+    shifts: bool = False  # whether those shift RPCs, or only stand by
     rests_until: float = 0.0
     moved_at: Optional[float] = None
-    heat: Optional[float] = None               # RPCs a millisecond
+    heat: Optional[float] = None  # RPCs a millisecond
     rates: dict = field(default_factory=dict)  # method -> RPCs a millisecond, and when last heard
     let_in: float = 0.0
-    levels: tuple = (1.0, 1.0)                 # present state: let in of the least criticality, and of others
+    levels: tuple = (1.0, 1.0)  # present state: let in of the least criticality, and of others
 
 
 @dataclass(eq=False, slots=True)
 class Proxy:
     """A proxy with a stream to this instance."""
+
     number: int
     zone: int = 0
     size: float = 0.0
@@ -140,9 +157,11 @@
 
 # Events
 
+
 @dataclass(slots=True)
 class Listing:
     """One entry of fleet news."""
+
     backend: Backend
     zone: int
     cell: int
@@ -239,9 +258,12 @@
 @dataclass(slots=True)
 class ChannelState:
     """Whether the channel takes orders now; the seal of a call of which it is not known whether it ran."""
+
     free: bool
     unknown: int = 0
-    broken: bool = field(default=False, compare=False)  # it broke off: the relay is there, and answers would be heard
+    broken: bool = field(
+        default=False, compare=False
+    )  # it broke off: the relay is there, and answers would be heard
 
     @property
     def held(self) -> bool:
@@ -252,6 +274,7 @@
 @dataclass(slots=True)
 class OutStands:
     """Whether a backend is withdrawn, other than was ordered: the call was given up."""
+
     backend: Backend
     out: bool
 
@@ -263,17 +286,34 @@
     Who is out of service is as good as draining; a zone's backends are given that share of their usual work; a
     method is worth what is said here, else what the site's terms say.
     """
+
     out: list[Backend]
     shares: dict[int, float]
     criticality: dict[int, float]
 
 
-Event = Union[ByHand, FleetNews, TimerDue, ProbeResult, PeerNote, ProxyJoined, ProxyLeft, TriesReport, ProxyLoad,
-              SliceHeat, Leased, StoredLine, SealConfirmed, ChannelState, OutStands]
+Event = Union[
+    ByHand,
+    FleetNews,
+    TimerDue,
+    ProbeResult,
+    PeerNote,
+    ProxyJoined,
+    ProxyLeft,
+    TriesReport,
+    ProxyLoad,
+    SliceHeat,
+    Leased,
+    StoredLine,
+    SealConfirmed,
+    ChannelState,
+    OutStands,
+]
 
 
 # Orders
 
+
 @dataclass(frozen=True, slots=True)
 class SetLine:
     slice: Slice
@@ -301,7 +341,7 @@
 @dataclass(frozen=True, slots=True)
 class SetLevel:
     methods: tuple[int, ...]
-    slice: Optional[Slice]      # None: every slice of the instance
+    slice: Optional[Slice]  # None: every slice of the instance
     level: float
     retry: Retry
 
@@ -325,7 +365,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TellPeers:
-    peer: Optional[int]         # None: all of them
+    peer: Optional[int]  # None: all of them
     content: bytes
 
 
@@ -347,14 +387,30 @@
 @dataclass(frozen=True, slots=True)
 class RepeatCall:
     """The call of this seal may go out again: if it ran, its lines are in the channel twice."""
+
     seal: int
 
 
 @dataclass(frozen=True, slots=True)
 class Forget:
     """Nothing names this backend any more, and it is gone: the adapter need not keep it."""
+
     backend: Backend
 
 
-Order = Union[SetLine, ClearTable, BindProxy, ShutOut, SetLevel, Seal, Wake, Probe, TellPeers, Say,
-              FollowList, FetchList, RepeatCall, Forget]
+Order = Union[
+    SetLine,
+    ClearTable,
+    BindProxy,
+    ShutOut,
+    SetLevel,
+    Seal,
+    Wake,
+    Probe,
+    TellPeers,
+    Say,
+    FollowList,
+    FetchList,
+    RepeatCall,
+    Forget,
+]
--- a/lifthinge/lab/capturebench.py
+++ b/lifthinge/lab/capturebench.py
@@ -1,4 +1,5 @@
 """What recording costs, and how fast a replay is: one scripted load, on and off in turn, in one process."""
+
 import gc
 import json
 import statistics
@@ -16,15 +17,42 @@
 from lifthinge.capture.turns import Replay
 from lifthinge.choice import Choice
 from lifthinge.interface import (
-    Backend, Event, FleetNews, Form, Leased, Listing, Method, Phase, Proxy, ProxyJoined, Seal, SealConfirmed,
-    SiteTerms, Slice, SliceHeat, StoredLine, TriesReport)
+    Backend,
+    Event,
+    FleetNews,
+    Form,
+    Leased,
+    Listing,
+    Method,
+    Phase,
+    Proxy,
+    ProxyJoined,
+    Seal,
+    SealConfirmed,
+    SiteTerms,
+    Slice,
+    SliceHeat,
+    StoredLine,
+    TriesReport,
+)
 from lifthinge.memory.counters import Counters
 
-EVERY = 500.0       # ms between turns with reports
+EVERY = 500.0  # ms between turns with reports
 TERMS = SiteTerms(
-    methods=(Method(1500.0, 5000.0, 1.0), Method(800.0, 2000.0, 3.0)), sliced=True, one_owner=False,
-    news_on_request=False, sizes_told=True, levels="ratio", report_every=EVERY, channel_rate=50.0, head_lines=10.0,
-    pending_max=75_000.0, pushes_allowed=0, update_window=10_000.0, warm_up=16_000.0)
+    methods=(Method(1500.0, 5000.0, 1.0), Method(800.0, 2000.0, 3.0)),
+    sliced=True,
+    one_owner=False,
+    news_on_request=False,
+    sizes_told=True,
+    levels="ratio",
+    report_every=EVERY,
+    channel_rate=50.0,
+    head_lines=10.0,
+    pending_max=75_000.0,
+    pushes_allowed=0,
+    update_window=10_000.0,
+    warm_up=16_000.0,
+)
 
 
 class Load:
@@ -32,16 +60,24 @@
 
     def __init__(self, backends: int, proxies: int, seed: int) -> None:
         self.dice = Random(seed)
-        self.backends = [Backend(f"s-{number:08x}", f"s-{number:08x}") for number in range(backends)]
+        self.backends = [
+            Backend(f"s-{number:08x}", f"s-{number:08x}") for number in range(backends)
+        ]
         self.slices = [Slice(number) for number in range(4 * backends)]
         self.proxies = [Proxy(number, number % 3, 1.0) for number in range(proxies)]
 
     def start(self) -> list[Event]:
-        listings = [Listing(one, place % 3, 0, Phase.READY, 0.0, 1.0) for place, one in enumerate(self.backends)]
+        listings = [
+            Listing(one, place % 3, 0, Phase.READY, 0.0, 1.0)
+            for place, one in enumerate(self.backends)
+        ]
         events: list[Event] = [FleetNews(Form.FULL, listings)]
         events += [ProxyJoined(one, True) for one in self.proxies]
         for place, one in enumerate(self.slices):
-            events += [Leased(one, True), StoredLine(one, self.backends[place % len(self.backends)], 1.0)]
+            events += [
+                Leased(one, True),
+                StoredLine(one, self.backends[place % len(self.backends)], 1.0),
+            ]
         return events
 
     def turn(self, orders: list) -> list[Event]:
@@ -51,18 +87,32 @@
         for one in self.backends:
             for zone in range(2):
                 slow = 8.0 if one is self.backends[int(dice.random() * 3)] else 1.0
-                events.append(TriesReport(zone, one, dice.randrange(1, 20), 0, 100.0 * slow * (0.7 + dice.random()),
-                                          EVERY, (dice.random(), 20.0 * dice.random())))
-        events += [SliceHeat(one, dice.randrange(2), dice.randrange(30), 0, EVERY)
-                   for one in dice.sample(self.slices, len(self.slices) // 2)]
+                events.append(
+                    TriesReport(
+                        zone,
+                        one,
+                        dice.randrange(1, 20),
+                        0,
+                        100.0 * slow * (0.7 + dice.random()),
+                        EVERY,
+                        (dice.random(), 20.0 * dice.random()),
+                    )
+                )
+        events += [
+            SliceHeat(one, dice.randrange(2), dice.randrange(30), 0, EVERY)
+            for one in dice.sample(self.slices, len(self.slices) // 2)
+        ]
         return events
 
 
 def _play(backends: int, proxies: int, turns: int, folder: Path | None) -> dict[str, Any]:
     """One day of so many turns; `folder` has it captured."""
     load, choice, counters = Load(backends, proxies, 5), Choice(TERMS, 5), Counters()
-    decider = choice if folder is None else Capture(choice, SegmentWriter(folder, {"life": 1}, 1 << 34, 4 << 20),
-                                                    counters)
+    decider = (
+        choice
+        if folder is None
+        else Capture(choice, SegmentWriter(folder, {"life": 1}, 1 << 34, 4 << 20), counters)
+    )
     waits, told, now, events = [], 0, 0.0, load.start()
     gc.collect()
     cpu = 0.0
@@ -79,8 +129,14 @@
         decider.close()
         cpu += time.process_time() - used
     waits.sort()
-    return {"cpu_s": cpu, "p50_ms": statistics.median(waits), "p99_ms": waits[int(len(waits) * 0.99)], "events": told,
-            "left_out": counters.get("capture.left_out"), "day_s": now / 1000.0}
+    return {
+        "cpu_s": cpu,
+        "p50_ms": statistics.median(waits),
+        "p99_ms": waits[int(len(waits) * 0.99)],
+        "events": told,
+        "left_out": counters.get("capture.left_out"),
+        "day_s": now / 1000.0,
+    }
 
 
 def plain_json(records: list[list]) -> int:
@@ -96,10 +152,22 @@
                 coder.define(*one)
             for told in record[4]:
                 event = coder.object(told)
-                size += len(json.dumps({"event": type(event).__name__, "at": record[1], **{
-                    name: getattr(value, "ep", getattr(value, "number", None)) if isinstance(
-                        value := getattr(event, name), (Backend, Slice, Proxy)) else str(value)
-                    for name in event.__slots__}}))
+                size += len(
+                    json.dumps(
+                        {
+                            "event": type(event).__name__,
+                            "at": record[1],
+                            **{
+                                name: getattr(value, "ep", getattr(value, "number", None))
+                                if isinstance(
+                                    value := getattr(event, name), (Backend, Slice, Proxy)
+                                )
+                                else str(value)
+                                for name in event.__slots__
+                            },
+                        }
+                    )
+                )
     return size
 
 
@@ -118,13 +186,26 @@
             began, replay = time.perf_counter(), Replay()
             parted = replay.play(records)
             took = time.perf_counter() - began
-            keyframes = [len(msgspec.msgpack.encode(record)) for record in records if record[0] == "k"]
+            keyframes = [
+                len(msgspec.msgpack.encode(record)) for record in records if record[0] == "k"
+            ]
         result[f"backends_{backends}"] = {
-            "cpu_more": round(statistics.median(a["cpu_s"] / b["cpu_s"] for a, b in zip(on, off)) - 1, 3),
-            "turn_p50_ms": [round(statistics.median(one["p50_ms"] for one in part), 2) for part in (off, on)],
-            "turn_p99_ms": [round(statistics.median(one["p99_ms"] for one in part), 2) for part in (off, on)],
-            "events": on[0]["events"], "left_out": on[0]["left_out"], "bytes_an_event": round(size / on[0]["events"], 1),
-            "part_of_json": round(size / plain_json(records), 3), "keyframe_bytes": round(statistics.mean(keyframes)),
-            "replayed_alike": parted is None, "turns": replay.turns,
-            "times_real": round(on[0]["day_s"] / took, 1)}
+            "cpu_more": round(
+                statistics.median(a["cpu_s"] / b["cpu_s"] for a, b in zip(on, off)) - 1, 3
+            ),
+            "turn_p50_ms": [
+                round(statistics.median(one["p50_ms"] for one in part), 2) for part in (off, on)
+            ],
+            "turn_p99_ms": [
+                round(statistics.median(one["p99_ms"] for one in part), 2) for part in (off, on)
+            ],
+            "events": on[0]["events"],
+            "left_out": on[0]["left_out"],
+            "bytes_an_event": round(size / on[0]["events"], 1),
+            "part_of_json": round(size / plain_json(records), 3),
+            "keyframe_bytes": round(statistics.mean(keyframes)),
+            "replayed_alike": parted is None,
+            "turns": replay.turns,
+            "times_real": round(on[0]["day_s"] / took, 1),
+        }
     return result
--- a/lifthinge/lab/cuts.py
+++ b/lifthinge/lab/cuts.py
@@ -3,6 +3,7 @@
 Bytes of a connection that is cut are held, as those of a network that loses packets; at the mend they go on. The
 dialling member is read from its hello, which is bare.
 """
+
 import asyncio
 from typing import Optional
 
@@ -53,7 +54,9 @@
             if len(self.head) < HEAD + length or len(self.head) < HEAD + MAC:
                 return
             try:
-                self.sender = msgspec.msgpack.decode(self.head[HEAD + MAC:HEAD + length], type=Hello).sender
+                self.sender = msgspec.msgpack.decode(
+                    self.head[HEAD + MAC : HEAD + length], type=Hello
+                ).sender
             except (msgspec.DecodeError, msgspec.ValidationError):
                 return self.end()
             data, self.head = self.head, b""
@@ -105,7 +108,9 @@
         self.server: Optional[asyncio.Server] = None
 
     async def open(self) -> tuple[str, int]:
-        self.server = await asyncio.get_running_loop().create_server(lambda: _Pair(self).near, "127.0.0.1", 0)
+        self.server = await asyncio.get_running_loop().create_server(
+            lambda: _Pair(self).near, "127.0.0.1", 0
+        )
         return self.server.sockets[0].getsockname()[:2]
 
     def changed(self) -> None:
--- a/lifthinge/lab/faults.py
+++ b/lifthinge/lab/faults.py
@@ -2,6 +2,7 @@
 
 Kept as a command (`lifthinge drill raft-model --fault NAME`), so that the checkers are known to be able to fail.
 """
+
 from typing import Optional
 
 from lifthinge.agreed.state import Agreed, Fence
@@ -20,7 +21,7 @@
     """Answers before its vote is on disk."""
 
     def _save_vote(self) -> None:
-        self._writing()     # the term and the vote stay in memory
+        self._writing()  # the term and the vote stay in memory
 
 
 class VotesForAnyone(Raft):
@@ -69,6 +70,12 @@
 
 
 FAULTS: dict[str, type] = {
-    "commit-old-terms": CommitsOldTerms, "vote-not-written": ForgetsVotes, "no-log-check": VotesForAnyone,
-    "cut-matching": CutsWhatMatches, "two-at-once": ChangesTwoAtOnce, "stale-read": ReadsWithoutQuorum,
-    "session-not-kept": SessionsNotInSnapshot, "fence-ignored": FenceIgnored}
+    "commit-old-terms": CommitsOldTerms,
+    "vote-not-written": ForgetsVotes,
+    "no-log-check": VotesForAnyone,
+    "cut-matching": CutsWhatMatches,
+    "two-at-once": ChangesTwoAtOnce,
+    "stale-read": ReadsWithoutQuorum,
+    "session-not-kept": SessionsNotInSnapshot,
+    "fence-ignored": FenceIgnored,
+}
--- a/lifthinge/lab/linear.py
+++ b/lifthinge/lab/linear.py
@@ -14,6 +14,7 @@
 >>> misorder([write(0, 5, 1), write(1, 6, 1)]) is None      # one version for two
 False
 """
+
 from typing import Iterable, NamedTuple, Optional
 
 
@@ -31,12 +32,17 @@
     for one in by_ask:
         if one.wrote and writes.setdefault(one.version, one) is not one:
             return writes[one.version], one
-    ended = sorted((one for one in by_ask if one.answered != float("inf")), key=lambda one: one.answered)
+    ended = sorted(
+        (one for one in by_ask if one.answered != float("inf")), key=lambda one: one.answered
+    )
     place, latest = 0, None
     for one in by_ask:
         while place < len(ended) and ended[place].answered < one.asked:
             done, place = ended[place], place + 1
-            if latest is None or (done.version, not done.wrote) > (latest.version, not latest.wrote):
+            if latest is None or (done.version, not done.wrote) > (
+                latest.version,
+                not latest.wrote,
+            ):
                 latest = done
         if latest is not None and (latest.version, not latest.wrote) > (one.version, not one.wrote):
             return latest, one
--- a/lifthinge/lab/raftbench.py
+++ b/lifthinge/lab/raftbench.py
@@ -1,4 +1,5 @@
 """What the cluster costs: commits, waits, elections, catching up, beside the limits of the same machine in the same run."""
+
 import asyncio
 import os
 import signal
@@ -42,6 +43,7 @@
         with connection:
             while data := connection.recv(4096):
                 connection.sendall(data)
+
     threading.Thread(target=serve, daemon=True).start()
     waits = []
     with socket.create_connection(server.getsockname()) as client:
@@ -59,14 +61,19 @@
 
 def _quantiles(waits: list[float]) -> dict[str, float]:
     waits = sorted(waits)
-    return {"p50_ms": round(statistics.median(waits), 2), "p99_ms": round(waits[int(len(waits) * 0.99)], 2)}
+    return {
+        "p50_ms": round(statistics.median(waits), 2),
+        "p99_ms": round(waits[int(len(waits) * 0.99)], 2),
+    }
 
 
 def _use(pid: int) -> tuple[float, float]:
     """CPU seconds and resident MB of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     status = Path(f"/proc/{pid}/status").read_text()
-    resident = int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1])
+    resident = int(
+        next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1]
+    )
     return (int(fields[11]) + int(fields[12])) / TICKS, resident / 1024
 
 
@@ -92,7 +99,9 @@
         way.close()
 
 
-async def _load(drill: Drill, proposers: int, seconds: float, body: dict[str, Any] = BODY) -> dict[str, float]:
+async def _load(
+    drill: Drill, proposers: int, seconds: float, body: dict[str, Any] = BODY
+) -> dict[str, float]:
     """Each proposer waits for its answer before it proposes again; what is answered went through the log."""
     waits: list[float] = []
     clients = [drill.client(f"p{number}") for number in range(proposers)]
@@ -105,10 +114,15 @@
         while drill.books.now < end:
             number += 1
             began = time.perf_counter()
-            reply = await client.ask(Propose(opened.session, number, number if proposers < 2 else 0, 0.0, "bench",
-                                             packed), end + 5_000.0)
+            reply = await client.ask(
+                Propose(
+                    opened.session, number, number if proposers < 2 else 0, 0.0, "bench", packed
+                ),
+                end + 5_000.0,
+            )
             assert reply is not None
             waits.append((time.perf_counter() - began) * 1000)
+
     began = time.perf_counter()
     await asyncio.gather(*(one(client) for client in clients))
     took = time.perf_counter() - began
@@ -128,7 +142,9 @@
             leader, term = (leads[0].name, leads[0].term) if leads else (None, 0)
         began = time.perf_counter()
         drill.kill(leader)
-        while not any(one.role == "leader" and one.term > term for one in (await drill.reports()).values()):
+        while not any(
+            one.role == "leader" and one.term > term for one in (await drill.reports()).values()
+        ):
             await asyncio.sleep(0.002)
         waits.append((time.perf_counter() - began) * 1000)
         drill.start(leader)
@@ -151,16 +167,24 @@
     while True:
         found = (await drill.reports()).get(name)
         if found is not None and found.ready and found.commit >= began:
-            return {"entries": entries, "seconds": round(time.perf_counter() - clock, 2),
-                    "by_snapshot": report.snapshot, "commit": report.commit}
+            return {
+                "entries": entries,
+                "seconds": round(time.perf_counter() - clock, 2),
+                "by_snapshot": report.snapshot,
+                "commit": report.commit,
+            }
         await asyncio.sleep(0.01)
 
 
-async def measure(sizes: tuple[int, ...], proposers: tuple[int, ...], seconds: float, kills: int, entries: int
-                  ) -> dict[str, Any]:
+async def measure(
+    sizes: tuple[int, ...], proposers: tuple[int, ...], seconds: float, kills: int, entries: int
+) -> dict[str, Any]:
     result: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as name:
-        result["bare"] = {"sync": _quantiles(bare_sync(Path(name))), "echo": _quantiles(bare_echo())}
+        result["bare"] = {
+            "sync": _quantiles(bare_sync(Path(name))),
+            "echo": _quantiles(bare_echo()),
+        }
     if entries:
         with tempfile.TemporaryDirectory() as name:
             drill = await _begin(3, Path(name), 10_000_000)
@@ -174,28 +198,38 @@
             try:
                 before = {one: _use(process.pid)[0] for one, process in drill.running.items()}
                 await asyncio.sleep(3.0)
-                rest = [(_use(process.pid)[0] - before[one]) / 3.0 for one, process in drill.running.items()]
+                rest = [
+                    (_use(process.pid)[0] - before[one]) / 3.0
+                    for one, process in drill.running.items()
+                ]
                 found = {"cpu_at_rest": round(sum(rest), 3)}
                 for count in proposers:
                     found[f"proposers_{count}"] = await _load(drill, count, seconds)
                 if size == 3:
                     for body in (1 << 10, 1 << 14, 1 << 17, 900 << 10):
-                        reasons = [{"id": f"b{place}", "reason": "x" * 390, "until": 0.0} for place in
-                                   range(min(max(body // 400, 1), 2_300))]
-                        found[f"body_{body}"] = await _load(drill, 1, min(seconds, 2.0), {"backends": reasons})
+                        reasons = [
+                            {"id": f"b{place}", "reason": "x" * 390, "until": 0.0}
+                            for place in range(min(max(body // 400, 1), 2_300))
+                        ]
+                        found[f"body_{body}"] = await _load(
+                            drill, 1, min(seconds, 2.0), {"backends": reasons}
+                        )
                     if kills:
                         found["leaderless"] = await _kills(drill, kills)
                     if entries:
                         found["catch_up"] = await _catch_up(drill, entries)
-                found["memory_mb"] = round(max(_use(process.pid)[1] for process in drill.running.values()), 1)
+                found["memory_mb"] = round(
+                    max(_use(process.pid)[1] for process in drill.running.values()), 1
+                )
                 result[f"members_{size}"] = found
             finally:
                 _end(drill)
     return result
 
 
-def run(sizes: tuple[int, ...], proposers: tuple[int, ...], seconds: float, kills: int, entries: int
-        ) -> dict[str, Any]:
+def run(
+    sizes: tuple[int, ...], proposers: tuple[int, ...], seconds: float, kills: int, entries: int
+) -> dict[str, Any]:
     """All figures, as one object."""
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
     return asyncio.run(measure(sizes, proposers, seconds, kills, entries))
--- a/lifthinge/lab/raftdrill.py
+++ b/lifthinge/lab/raftdrill.py
@@ -5,6 +5,7 @@
 acknowledged is lost, all members hold one history, no two front ends obeyed different documents of one place, no
 front end went back, and what clients saw is linearisable.
 """
+
 import asyncio
 import logging
 import signal
@@ -29,11 +30,11 @@
 
 ELECTION, BEAT = 300.0, 50.0
 PROPOSERS, READERS, FRONT_ENDS = 4, 2, 3
-EVERY = 0.5, 1.5            # s between failures
-WATCH = 0.02                # s between looks at who leads
-SETTLE = 25.0               # s at the end for all to hold the same
+EVERY = 0.5, 1.5  # s between failures
+WATCH = 0.02  # s between looks at who leads
+SETTLE = 25.0  # s at the end for all to hold the same
 START_WAIT = 15.0
-SNAPSHOT_ENTRIES = 500      # few, so that members need snapshots
+SNAPSHOT_ENTRIES = 500  # few, so that members need snapshots
 NAMES = "abcdefghi"
 
 
@@ -52,14 +53,16 @@
         self.cuts: set[tuple[str, str]] = set()
         self.names = list(NAMES[:size])
         self.ways: dict[str, Way] = {}
-        self.addresses: dict[str, tuple[str, int]] = {}     # of the members themselves, for clients
-        self.outside: dict[str, str] = {}                   # as the members reach one another
+        self.addresses: dict[str, tuple[str, int]] = {}  # of the members themselves, for clients
+        self.outside: dict[str, str] = {}  # as the members reach one another
         self.running: dict[str, subprocess.Popen] = {}
         self.stopped: set[str] = set()
         self.history: list[Seen] = []
         self.acknowledged: dict[int, bytes] = {}
         self.obeyed: dict[tuple[int, int], set[bytes]] = {}
-        self.went_back = self.kills = self.cut_count = self.stops = self.changes = self.disks = self.transfers = 0
+        self.went_back = self.kills = self.cut_count = self.stops = self.changes = self.disks = (
+            self.transfers
+        ) = 0
         self.unknown = self.reads = self.follows = 0
         self.leaderless: list[float] = []
         self.over = False
@@ -95,8 +98,8 @@
   name            = "{name}"
   listen          = "127.0.0.1:{self.addresses[name][1]}"
   folder          = "{self.folder / name}"
-  key_file        = "{self.folder / 'members.key'}"
-  client_key_file = "{self.folder / 'clients.key'}"
+  key_file        = "{self.folder / "members.key"}"
+  client_key_file = "{self.folder / "clients.key"}"
   election_ms     = {ELECTION}
   beat_ms         = {BEAT}
   snapshot_entries = {self.snapshot_entries}
@@ -109,8 +112,19 @@
     def start(self, name: str, *options: str) -> None:
         log = open(self.folder / f"{name}.log", "a")
         self.running[name] = subprocess.Popen(
-            [sys.executable, "-m", "lifthinge", "member", "run", str(self.folder / f"{name}.hcl"), *options],
-            stderr=log, stdout=log, stdin=subprocess.DEVNULL)
+            [
+                sys.executable,
+                "-m",
+                "lifthinge",
+                "member",
+                "run",
+                str(self.folder / f"{name}.hcl"),
+                *options,
+            ],
+            stderr=log,
+            stdout=log,
+            stdin=subprocess.DEVNULL,
+        )
         log.close()
 
     def kill(self, name: str, how: int = signal.SIGKILL) -> None:
@@ -129,11 +143,14 @@
         async def one(name: str) -> Optional[talk.Report]:
             link = self.watched.get(name)
             if link is None or link.link.lost:
-                link = await call(self.books, self.addresses[name], "drill", "watch", self.watch_keys)
+                link = await call(
+                    self.books, self.addresses[name], "drill", "watch", self.watch_keys
+                )
                 if link is None:
                     return None
                 self.watched[name] = link
             return await link.ask(talk.Status(), wait)
+
         names = [name for name in self.names if name in self.running and name not in self.stopped]
         found = await asyncio.gather(*(one(name) for name in names))
         return {name: report for name, report in zip(names, found) if report is not None}
@@ -146,7 +163,9 @@
         while not self.over:
             count += 1
             mark = f"{number}-{count}"
-            document = {"backends": [{"id": f"s-{dice.randrange(20)}", "reason": mark, "until": 0.0}]}
+            document = {
+                "backends": [{"id": f"s-{dice.randrange(20)}", "reason": mark, "until": 0.0}]
+            }
             asked = self.books.now
             reply = await client.propose(document, on, mark, time.time() * 1000.0, asked + 15_000.0)
             answered = self.books.now
@@ -159,7 +178,7 @@
                 self.history.append(Seen(asked, answered, reply.version, False))
             else:
                 self.unknown += 1
-                client.session = 0      # its fate is unknown: a new number would pass it by
+                client.session = 0  # its fate is unknown: a new number would pass it by
                 shown = await client.ask(talk.Show(), self.books.now + 5_000.0)
                 on = shown.version if isinstance(shown, talk.Shown) else on
             await self.books.pause(dice.uniform(0, 30))
@@ -174,7 +193,7 @@
                 self.reads += 1
                 self.history.append(Seen(asked, self.books.now, reply.version, False))
             if self.dice.random() < 0.2:
-                client.close()      # goes to another next
+                client.close()  # goes to another next
             await self.books.pause(self.dice.uniform(0, 40))
         client.close()
 
@@ -183,7 +202,9 @@
         fence, at = Fence(), (0, 0)
         while not self.over:
             name = self.dice.choice(self.names)
-            link = await call(self.books, self.addresses[name], "drill", f"f{number}", self.watch_keys)
+            link = await call(
+                self.books, self.addresses[name], "drill", f"f{number}", self.watch_keys
+            )
             if link is None:
                 await self.books.pause(100.0)
                 continue
@@ -221,9 +242,19 @@
     # Failures.
 
     async def trouble(self) -> None:
-        acts = [(4, self.act_kill), (3, self.act_kill_leader), (3, self.act_stop), (2, self.act_stop_leader),
-                (3, self.act_cut), (3, self.act_isolate_leader), (2, self.act_one_way), (2, self.act_slow),
-                (1, self.act_full), (2, self.act_change), (2, self.act_transfer)]
+        acts = [
+            (4, self.act_kill),
+            (3, self.act_kill_leader),
+            (3, self.act_stop),
+            (2, self.act_stop_leader),
+            (3, self.act_cut),
+            (3, self.act_isolate_leader),
+            (2, self.act_one_way),
+            (2, self.act_slow),
+            (1, self.act_full),
+            (2, self.act_change),
+            (2, self.act_transfer),
+        ]
         end = self.books.now + self.seconds * 1000.0
         while self.books.now < end:
             act = self.dice.choices([act for _, act in acts], [weight for weight, _ in acts])[0]
@@ -246,8 +277,13 @@
                 self.start(name)
 
     def _well(self) -> list[str]:
-        return [name for name in self.names if name in self.running and name not in self.stopped
-                and self.running[name].poll() is None]
+        return [
+            name
+            for name in self.names
+            if name in self.running
+            and name not in self.stopped
+            and self.running[name].poll() is None
+        ]
 
     async def _leader(self) -> Optional[str]:
         reports = await self.reports()
@@ -286,17 +322,28 @@
 
     async def act_cut(self) -> None:
         side = set(self.dice.sample(self.names, self.dice.randint(1, max(len(self.names) // 2, 1))))
-        self._cut({pair for a in side for b in self.names if b not in side for pair in ((a, b), (b, a))})
+        self._cut(
+            {pair for a in side for b in self.names if b not in side for pair in ((a, b), (b, a))}
+        )
 
     async def act_isolate_leader(self) -> None:
         name = await self._leader()
         if name:
-            self._cut({pair for other in self.names if other != name for pair in ((name, other), (other, name))})
+            self._cut(
+                {
+                    pair
+                    for other in self.names
+                    if other != name
+                    for pair in ((name, other), (other, name))
+                }
+            )
 
     async def act_one_way(self) -> None:
         name = self.dice.choice(self.names)
         out = self.dice.random() < 0.5
-        self._cut({(name, other) if out else (other, name) for other in self.names if other != name})
+        self._cut(
+            {(name, other) if out else (other, name) for other in self.names if other != name}
+        )
 
     async def act_slow(self) -> None:
         name = self.dice.choice(self._well() or [""])
@@ -332,7 +379,9 @@
             self.write_file(name, {})
             self.start(name)
             self.names.append(name)
-            reply = await client.ask(talk.Change(name, self.outside[name]), self.books.now + 3_000.0)
+            reply = await client.ask(
+                talk.Change(name, self.outside[name]), self.books.now + 3_000.0
+            )
             if isinstance(reply, talk.Done):
                 self.say("added", name)
                 self.changes += 1
@@ -346,8 +395,10 @@
 
     async def act_transfer(self) -> None:
         client = self.client("transfer")
-        self.transfers += isinstance(await client.ask(talk.HandOver(self.dice.choice(self.names)),
-                                                      self.books.now + 1_000.0), talk.Done)
+        self.transfers += isinstance(
+            await client.ask(talk.HandOver(self.dice.choice(self.names)), self.books.now + 1_000.0),
+            talk.Done,
+        )
         client.close()
 
     # The run, and what came of it.
@@ -382,7 +433,9 @@
     async def _until_led(self, wait: float) -> None:
         end = self.books.now + wait * 1000.0
         while self.books.now < end:
-            if any(one.role == "leader" and one.in_touch for one in (await self.reports()).values()):
+            if any(
+                one.role == "leader" and one.in_touch for one in (await self.reports()).values()
+            ):
                 return
             await asyncio.sleep(WATCH)
 
@@ -392,37 +445,79 @@
         reports: dict[str, talk.Report] = {}
         while self.books.now < end:
             reports = await self.reports(1_000.0)
-            members = {one.name for report in reports.values() if report.role == "leader" for one in report.members}
+            members = {
+                one.name
+                for report in reports.values()
+                if report.role == "leader"
+                for one in report.members
+            }
             digests = {report.digest for name, report in reports.items() if name in members}
             commits = {report.commit for name, report in reports.items() if name in members}
             if members and members <= set(reports) and len(digests) == len(commits) == 1:
                 break
             await asyncio.sleep(0.2)
         history = await self._history()
-        lost = [version for version, mark in self.acknowledged.items()
-                if version in history and history[version].author.encode() != mark or version > max(history, default=0)]
+        lost = [
+            version
+            for version, mark in self.acknowledged.items()
+            if version in history
+            and history[version].author.encode() != mark
+            or version > max(history, default=0)
+        ]
         by_place = {(one.version, one.index): one.digest for one in history.values()}
-        two = [place for place, seen in self.obeyed.items()
-               if len(seen) > 1 or place in by_place and by_place[place] not in seen]
+        two = [
+            place
+            for place, seen in self.obeyed.items()
+            if len(seen) > 1 or place in by_place and by_place[place] not in seen
+        ]
         parted = misorder(self.history)
         waits = sorted(self.leaderless)
         result = {
-            "acknowledged": len(self.acknowledged), "acknowledged_lost": len(lost),
-            "histories_identical": len(digests) == 1 and len(commits) == 1 and bool(members)
+            "acknowledged": len(self.acknowledged),
+            "acknowledged_lost": len(lost),
+            "histories_identical": len(digests) == 1
+            and len(commits) == 1
+            and bool(members)
             and members <= set(reports),
-            "two_obeyed": len(two) + self.went_back, "linearisable": parted is None, "kills": self.kills,
-            "cuts": self.cut_count, "stops": self.stops, "changes": self.changes, "disks": self.disks,
-            "transfers": self.transfers, "reads": self.reads, "follows": self.follows, "unknown": self.unknown,
-            "leaderless": len(waits), "members": len(self.names),
+            "two_obeyed": len(two) + self.went_back,
+            "linearisable": parted is None,
+            "kills": self.kills,
+            "cuts": self.cut_count,
+            "stops": self.stops,
+            "changes": self.changes,
+            "disks": self.disks,
+            "transfers": self.transfers,
+            "reads": self.reads,
+            "follows": self.follows,
+            "unknown": self.unknown,
+            "leaderless": len(waits),
+            "members": len(self.names),
             "leaderless_ms_p50": round(statistics.median(waits), 1) if waits else 0.0,
-            "leaderless_ms_p99": round(waits[min(int(len(waits) * 0.99), len(waits) - 1)], 1) if waits else 0.0}
-        result["ok"] = (not lost and result["histories_identical"] and not result["two_obeyed"]
-                        and parted is None and bool(self.acknowledged))
+            "leaderless_ms_p99": round(waits[min(int(len(waits) * 0.99), len(waits) - 1)], 1)
+            if waits
+            else 0.0,
+        }
+        result["ok"] = (
+            not lost
+            and result["histories_identical"]
+            and not result["two_obeyed"]
+            and parted is None
+            and bool(self.acknowledged)
+        )
         if parted:
             result["parted"] = [str(one) for one in parted]
         if not result["histories_identical"]:
-            result["seen"] = {name: [one.commit, one.version, one.digest.hex()[:8], one.role, one.leader,
-                                     sorted(m.name for m in one.members)] for name, one in reports.items()}
+            result["seen"] = {
+                name: [
+                    one.commit,
+                    one.version,
+                    one.digest.hex()[:8],
+                    one.role,
+                    one.leader,
+                    sorted(m.name for m in one.members),
+                ]
+                for name, one in reports.items()
+            }
         return result
 
     async def _history(self) -> dict[int, talk.Shown]:
@@ -439,9 +534,11 @@
 
 def run(size: int, seconds: float, seed: int, keep: str = "", quiet: bool = True) -> dict[str, Any]:
     """Plays one drill; its result, `ok` if every promise was kept."""
+
     async def play(folder: Path) -> dict[str, Any]:
         return await Drill(size, seconds, seed, folder, quiet).play()
-    logging.getLogger("lifthinge").addHandler(logging.NullHandler())    # cut links are not news here
+
+    logging.getLogger("lifthinge").addHandler(logging.NullHandler())  # cut links are not news here
     if keep:
         Path(keep).mkdir(parents=True, exist_ok=True)
         return asyncio.run(play(Path(keep)))
--- a/lifthinge/lab/raftworld.py
+++ b/lifthinge/lab/raftworld.py
@@ -3,6 +3,7 @@
 The five properties are those of the paper's figure 3; besides: what a client was told stays true, reads are current,
 a proposal sent again gets the answer that it got, rosters change by one, and no front end goes back.
 """
+
 from collections import Counter
 from dataclasses import dataclass, field
 from random import Random
@@ -15,13 +16,24 @@
 from lifthinge.lab.faults import FAULTS
 from lifthinge.raft.image import Image
 from lifthinge.raft.messages import (
-    AppendEntries, AppendReply, Entry, Kind, Member, Message, RequestVote, Roster, Snapshot, Vote, read_roster)
+    AppendEntries,
+    AppendReply,
+    Entry,
+    Kind,
+    Member,
+    Message,
+    RequestVote,
+    Roster,
+    Snapshot,
+    Vote,
+    read_roster,
+)
 from lifthinge.raft.node import Pace, Raft, Refused, Role, Write
 
 NAMES = "abcdefg"
 PACE = Pace(election=100.0, beat=20.0, append_bytes=200, chunk_bytes=64, pending_entries=64)
-UNDER_WAY_MOST = 400        # messages; beyond, the oldest are lost
-KEPT_ENTRIES = 4            # behind a snapshot here, so that members need snapshots
+UNDER_WAY_MOST = 400  # messages; beyond, the oldest are lost
+KEPT_ENTRIES = 4  # behind a snapshot here, so that members need snapshots
 
 
 class Violation(AssertionError):
@@ -31,18 +43,20 @@
 @dataclass
 class Host:
     """One member: what survives (`image`) and what does not."""
+
     name: str
     image: Image
     raft: Optional[Raft] = None
     state: Agreed = field(default_factory=Agreed)
     unsynced: list[Write] = field(default_factory=list)
-    reads: dict[object, int] = field(default_factory=dict)      # answered, waiting to be applied: index
+    reads: dict[object, int] = field(default_factory=dict)  # answered, waiting to be applied: index
     led: Optional[tuple[int, list]] = None
 
 
 @dataclass
 class Request:
     """A client's proposal, as it was first sent and as it was answered."""
+
     session: int
     number: int
     command: Propose
@@ -61,18 +75,20 @@
         self.hosts: dict[str, Host] = {}
         self.wire: list[tuple[str, str, Message]] = []
         self.cuts: set[tuple[str, str]] = set()
-        self.leaders: dict[int, str] = {}                   # by term
-        self.entries: dict[tuple[int, int], tuple] = {}     # (index, term): term before, kind, data
-        self.committed: dict[int, tuple[Entry, int]] = {}   # index: entry, term in which it was seen committed
+        self.leaders: dict[int, str] = {}  # by term
+        self.entries: dict[tuple[int, int], tuple] = {}  # (index, term): term before, kind, data
+        self.committed: dict[
+            int, tuple[Entry, int]
+        ] = {}  # index: entry, term in which it was seen committed
         self.answers: dict[tuple[int, int], Answer] = {}
         self.requests: list[Request] = []
         self.sessions: list[int] = []
-        self.acknowledged = 0                               # highest version that any client was told of
-        self.read_from: dict[object, int] = {}              # read: acknowledged when it began
+        self.acknowledged = 0  # highest version that any client was told of
+        self.read_from: dict[object, int] = {}  # read: acknowledged when it began
         self.fence = (kind if kind and issubclass(kind, Fence) else Fence)()
         self.obeyed = (0, 0)
-        self.slow: set[str] = set()         # whose disk does not sync by itself
-        self.asleep: set[str] = set()       # stopped: nothing happens there, and what comes waits
+        self.slow: set[str] = set()  # whose disk does not sync by itself
+        self.asleep: set[str] = set()  # stopped: nothing happens there, and what comes waits
         self.seen: Counter = Counter()
         self.number = 0
         for name in NAMES[:size]:
@@ -89,7 +105,9 @@
     def start(self, name: str) -> None:
         host = self.hosts[name]
         if host.raft is None:
-            host.raft = self.raft_kind(name, Random(self.dice.getrandbits(32)), self.now, host.image.saved(), PACE)
+            host.raft = self.raft_kind(
+                name, Random(self.dice.getrandbits(32)), self.now, host.image.saved(), PACE
+            )
             host.state, host.reads, host.led = self.state_kind(), {}, None
             self.seen["starts"] += 1
             self._take(host)
@@ -164,8 +182,14 @@
         if host.raft is None or not self.sessions:
             return
         self.number += 1
-        command = Propose(self.dice.choice(self.sessions[-3:]), self.number, host.state.version, self.now,
-                          f"op-{self.number}", msgspec.msgpack.encode({"n": self.number}))
+        command = Propose(
+            self.dice.choice(self.sessions[-3:]),
+            self.number,
+            host.state.version,
+            self.now,
+            f"op-{self.number}",
+            msgspec.msgpack.encode({"n": self.number}),
+        )
         request = Request(command.session, command.number, command)
         if not isinstance(host.raft.propose(pack(command), self.now), Refused):
             self.requests.append(request)
@@ -175,8 +199,10 @@
         """A client that heard no answer, or lost it, sends its latest proposal again, elsewhere."""
         host = self.hosts[name]
         if host.raft is not None and self.requests:
-            host.raft.propose(pack(self.requests[-1 - self.dice.randrange(min(len(self.requests), 2))].command),
-                              self.now)
+            host.raft.propose(
+                pack(self.requests[-1 - self.dice.randrange(min(len(self.requests), 2))].command),
+                self.now,
+            )
             self._take(host)
 
     def read(self, name: str) -> None:
@@ -219,7 +245,9 @@
         latest = host.state.latest
         if host.raft is not None and latest and self.fence.admit(latest.term, latest.index):
             if (latest.term, latest.index) < self.obeyed:
-                raise Violation(f"a front end went back from {self.obeyed} to {latest.term, latest.index}")
+                raise Violation(
+                    f"a front end went back from {self.obeyed} to {latest.term, latest.index}"
+                )
             self.obeyed = latest.term, latest.index
 
     def sleep(self, name: str) -> None:
@@ -233,7 +261,9 @@
 
     def nap(self) -> None:
         """Who leads is stopped while the others go on without it, then wakes and thinks it leads."""
-        for name in [one.name for one in self.hosts.values() if one.raft and one.raft.role is Role.LEADER]:
+        for name in [
+            one.name for one in self.hosts.values() if one.raft and one.raft.role is Role.LEADER
+        ]:
             self.sleep(name)
             self.settle(70)
             for other in self.hosts:
@@ -265,9 +295,15 @@
         if not self._come_to_lead(first, {second, third}):
             return
         term = self.hosts[first].raft.term
-        for _ in range(12):     # nothing of the new term gets through, but beats do
-            self.wire = [one for one in self.wire if not (isinstance(one[2], AppendEntries) and any(
-                entry.term == term for entry in one[2].entries))]
+        for _ in range(12):  # nothing of the new term gets through, but beats do
+            self.wire = [
+                one
+                for one in self.wire
+                if not (
+                    isinstance(one[2], AppendEntries)
+                    and any(entry.term == term for entry in one[2].entries)
+                )
+            ]
             self._pass({first, second, third}, 1)
             self.pass_time(6.0)
         self._die(first)
@@ -276,12 +312,14 @@
 
     def _come_to_lead(self, name: str, near: set[str]) -> bool:
         """Time passes until it campaigns, and only these hear of it."""
-        for _ in range(3):      # others' terms may be ahead: it learns of them by asking
+        for _ in range(3):  # others' terms may be ahead: it learns of them by asking
             self.wire = []
             self.now += 2 * PACE.election + 1
             for host in self.hosts.values():
                 if host.raft.role is not Role.LEADER:
-                    host.raft.election_at = self.now + (0 if host.name == name else 3 * PACE.election)
+                    host.raft.election_at = self.now + (
+                        0 if host.name == name else 3 * PACE.election
+                    )
             self.tick(name)
             self._pass({name} | near, 8, (RequestVote, Vote))
             if self.hosts[name].raft.role is Role.LEADER:
@@ -313,7 +351,7 @@
         out = host.raft.take()
         for to, message in out.sends:
             self.wire.append((host.name, to, message))
-        del self.wire[:max(len(self.wire) - UNDER_WAY_MOST, 0)]
+        del self.wire[: max(len(self.wire) - UNDER_WAY_MOST, 0)]
         host.unsynced += out.writes
         for one in out.applied:
             self._applied(host, one)
@@ -328,7 +366,9 @@
                 before = self.read_from.pop(token, None)
                 self.seen["reads"] += 1
                 if before is not None and host.state.version < before:
-                    raise Violation(f"a read found version {host.state.version} after {before} was acknowledged")
+                    raise Violation(
+                        f"a read found version {host.state.version} after {before} was acknowledged"
+                    )
         self.check(host)
 
     def _applied(self, host: Host, one) -> None:
@@ -366,14 +406,20 @@
             former = host.led
             if former and former[0] == raft.term:
                 now = {one.index: one for one in log.entries}
-                if any(now.get(one.index, one) != one or one.index > log.last_index for one in former[1]):
+                if any(
+                    now.get(one.index, one) != one or one.index > log.last_index
+                    for one in former[1]
+                ):
                     raise Violation("a leader changed its log")
             host.led = raft.term, list(log.entries)
             for index, (entry, term) in self.committed.items():
                 if term < raft.term and index > log.base[0] and log.term_at(index) != entry.term:
                     raise Violation(f"the leader of term {raft.term} lacks entry {index}")
-            late = [one for one in log.entries if one.kind is Kind.ROSTER and one.index > raft.commit
-                    and one.term == raft.term]
+            late = [
+                one
+                for one in log.entries
+                if one.kind is Kind.ROSTER and one.index > raft.commit and one.term == raft.term
+            ]
             if len(late) > 1:
                 raise Violation("two changes of members at once")
         before = log.base[1]
@@ -381,7 +427,9 @@
         for one in log.entries:
             known = self.entries.setdefault((one.index, one.term), (before, one.kind, one.data))
             if known != (before, one.kind, one.data):
-                raise Violation(f"entry {one.index} of term {one.term} differs, or what precedes it")
+                raise Violation(
+                    f"entry {one.index} of term {one.term} differs, or what precedes it"
+                )
             if one.kind is Kind.ROSTER:
                 new = set(read_roster(one.data).voters)
                 if roster is not None and len(new ^ roster) > 1:
@@ -399,8 +447,11 @@
         for name in list(self.hosts):
             self.start(name)
         self.settle(300)
-        leader = max((host for host in self.hosts.values() if host.raft.role is Role.LEADER),
-                     key=lambda host: host.raft.term, default=None)
+        leader = max(
+            (host for host in self.hosts.values() if host.raft.role is Role.LEADER),
+            key=lambda host: host.raft.term,
+            default=None,
+        )
         if leader is None:
             raise Violation("nobody leads although all is well")
         for name in leader.raft.log.roster.voters:
@@ -415,16 +466,31 @@
     def walk(self, steps: int) -> None:
         """So many random steps, most of them the common course, then the end's checks."""
         dice = self.dice
-        acts = [(30, lambda n: self.deliver(dice.randrange(1 << 16))), (6, lambda n: self.pass_time(dice.uniform(1, 15))),
-                (10, self.sync), (3, lambda n: self.lose(dice.randrange(1 << 16))),
-                (3, lambda n: self.deliver(dice.randrange(1 << 16), again=True)), (5, self.propose), (2, self.repeat),
-                (2, self.read), (2, self.follow), (1, self.open_session), (1, lambda n: self.settle(dice.randint(1, 8))),
-                (0.7, lambda n: self.crash(n, dice.randrange(3))), (3, self.start), (0.5, self.compact),
-                (0.5, lambda n: self.hand_over(n, dice.choice(list(self.hosts)))),
-                (0.5, lambda n: self.change(n, dice.choice(NAMES))),
-                (0.8, lambda n: self.cuts.add((n, dice.choice(list(self.hosts))))),
-                (0.3, lambda n: self.isolate(n)), (0.6, lambda n: self.cuts.clear()), (0.4, self.sleep), (1, self.wake),
-                (0.1, lambda n: self.nap()), (0.1, lambda n: self.figure_8())]
+        acts = [
+            (30, lambda n: self.deliver(dice.randrange(1 << 16))),
+            (6, lambda n: self.pass_time(dice.uniform(1, 15))),
+            (10, self.sync),
+            (3, lambda n: self.lose(dice.randrange(1 << 16))),
+            (3, lambda n: self.deliver(dice.randrange(1 << 16), again=True)),
+            (5, self.propose),
+            (2, self.repeat),
+            (2, self.read),
+            (2, self.follow),
+            (1, self.open_session),
+            (1, lambda n: self.settle(dice.randint(1, 8))),
+            (0.7, lambda n: self.crash(n, dice.randrange(3))),
+            (3, self.start),
+            (0.5, self.compact),
+            (0.5, lambda n: self.hand_over(n, dice.choice(list(self.hosts)))),
+            (0.5, lambda n: self.change(n, dice.choice(NAMES))),
+            (0.8, lambda n: self.cuts.add((n, dice.choice(list(self.hosts))))),
+            (0.3, lambda n: self.isolate(n)),
+            (0.6, lambda n: self.cuts.clear()),
+            (0.4, self.sleep),
+            (1, self.wake),
+            (0.1, lambda n: self.nap()),
+            (0.1, lambda n: self.figure_8()),
+        ]
         weights = [weight for weight, _ in acts]
         self.settle(60)
         for _ in range(3):
--- a/lifthinge/lowest.py
+++ b/lifthinge/lowest.py
@@ -1,4 +1,5 @@
 """The lowest of the values that came within a span of time."""
+
 from collections import deque
 
 
--- a/lifthinge/memory/books.py
+++ b/lifthinge/memory/books.py
@@ -1,4 +1,5 @@
 """The books that all connections share: slots, deadlines, counters, and chance for transport waits."""
+
 import asyncio
 from dataclasses import dataclass
 from random import Random
@@ -12,6 +13,7 @@
 @dataclass(eq=False, slots=True)
 class Request:
     """A request that waits for its answer, as its connection's owner sees it."""
+
     asked_at: float
     future: asyncio.Future
     deadline: Deadline
--- a/lifthinge/memory/calls.py
+++ b/lifthinge/memory/calls.py
@@ -14,6 +14,7 @@
 >>> calls.touched(one, 0), calls.touched(one, calls.settled)
 (True, False)
 """
+
 from dataclasses import dataclass
 from typing import Iterable, Optional
 
@@ -31,8 +32,8 @@
 
     def __init__(self) -> None:
         self._waiting: list[Pending] = []
-        self.settled = 0                            # orders, ever
-        self._settled_at: dict[Slice, int] = {}     # which of them was a slice's last
+        self.settled = 0  # orders, ever
+        self._settled_at: dict[Slice, int] = {}  # which of them was a slice's last
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -60,12 +61,17 @@
 
     def slice_gone(self, gone: Slice) -> None:
         """What was ordered for a slice that has been taken away, or given anew, dies with it."""
-        self._waiting = [one for one in self._waiting if getattr(one.order, "slice", None) is not gone]
+        self._waiting = [
+            one for one in self._waiting if getattr(one.order, "slice", None) is not gone
+        ]
 
     def seal(self) -> Optional[int]:
-        return next((one.order.number for one in self._waiting if isinstance(one.order, Seal)), None)
+        return next(
+            (one.order.number for one in self._waiting if isinstance(one.order, Seal)), None
+        )
 
     def touched(self, one: Slice, since: int) -> bool:
         """Whether a slice has orders under way, or had some settled after so many."""
         return self._settled_at.get(one, 0) > since or any(
-            getattr(waiting.order, "slice", None) is one for waiting in self._waiting)
+            getattr(waiting.order, "slice", None) is one for waiting in self._waiting
+        )
--- a/lifthinge/memory/counters.py
+++ b/lifthinge/memory/counters.py
@@ -6,6 +6,7 @@
 >>> counters.fields()
 {'calls.open': 4, 'report.tries': 3}
 """
+
 import logging
 from typing import Any, Callable
 
@@ -43,11 +44,14 @@
     >>> notices.log, counters.fields()
     ([('bad_message', {'why': 'a'}), ('bad_message', {'why': 'c', 'more': 1})], {'bad_message': 3})
     """
+
     EVERY = 1000.0
 
     def __init__(self, log: logging.Logger, counters: Counters, now: Callable[[], float]) -> None:
         self.log, self.counters, self.now = log, counters, now
-        self._last: dict[str, tuple[float, int]] = {}   # event: when logged, and how many kept back since
+        self._last: dict[
+            str, tuple[float, int]
+        ] = {}  # event: when logged, and how many kept back since
 
     def note(self, event: str, **fields: Any) -> None:
         self.counters.add(event)
--- a/lifthinge/memory/deadlines.py
+++ b/lifthinge/memory/deadlines.py
@@ -13,6 +13,7 @@
 >>> late.cancel(); clock.now = 90.0; table.run(); fired, len(table)
 (['soon'], 0)
 """
+
 import heapq
 import logging
 from typing import Any, Callable, Optional
@@ -25,7 +26,9 @@
 
     __slots__ = ("at", "order", "action", "table")
 
-    def __init__(self, at: float, order: int, action: Callable[[], Any], table: "Deadlines") -> None:
+    def __init__(
+        self, at: float, order: int, action: Callable[[], Any], table: "Deadlines"
+    ) -> None:
         self.at, self.order, self.table = at, order, table
         self.action: Optional[Callable[[], Any]] = action
 
@@ -45,14 +48,15 @@
 class Deadlines:
     """`now` gives milliseconds; `schedule(delay, run)` arms the one timer and gives what cancels it."""
 
-    def __init__(self, now: Callable[[], float],
-                 schedule: Callable[[float, Callable[[], None]], Any]) -> None:
+    def __init__(
+        self, now: Callable[[], float], schedule: Callable[[float, Callable[[], None]], Any]
+    ) -> None:
         self.now, self._schedule = now, schedule
         self._heap: list[Deadline] = []
         self._dead = self._count = 0
         self._timer: Any = None
         self._armed_for = float("inf")
-        self.latest = 0.0       # the longest that any was run after its time
+        self.latest = 0.0  # the longest that any was run after its time
 
     def __len__(self) -> int:
         return len(self._heap) - self._dead
--- a/lifthinge/memory/slots.py
+++ b/lifthinge/memory/slots.py
@@ -10,6 +10,7 @@
 >>> c & 0xFFFF == a & 0xFFFF, c == a, slots.get(a), slots.get(c), slots.get(b)
 (True, False, None, 'c', 'b')
 """
+
 from typing import Generic, Optional, TypeVar
 
 T = TypeVar("T")
--- a/lifthinge/memory/stand.py
+++ b/lifthinge/memory/stand.py
@@ -1,16 +1,29 @@
 """What a new stream of news repeats: gathered, and told as the difference from what was told before."""
-from lifthinge.interface import Backend, Event, Leased, Proxy, ProxyJoined, ProxyLeft, Slice, StoredLine
+
+from lifthinge.interface import (
+    Backend,
+    Event,
+    Leased,
+    Proxy,
+    ProxyJoined,
+    ProxyLeft,
+    Slice,
+    StoredLine,
+)
 from lifthinge.memory.calls import Calls
 from lifthinge.memory.world import World
 
-WEIGHT_NEAR = 1e-4, 0.001   # of a weight, and beyond: weights are told to three places
+WEIGHT_NEAR = 1e-4, 0.001  # of a weight, and beyond: weights are told to three places
 
 
 class Stand:
     """Joined proxies, slices in charge, and their lines, as a stream opens with them."""
 
     def __init__(self, calls: Calls) -> None:
-        self._calls, self._since = calls, calls.settled     # orders settled since may show in it, or not
+        self._calls, self._since = (
+            calls,
+            calls.settled,
+        )  # orders settled since may show in it, or not
         self.joined: dict[Proxy, ProxyJoined] = {}
         self.lines: dict[Slice, dict[Backend, float]] = {}
 
@@ -30,8 +43,11 @@
     def difference(self, world: World) -> list[Event]:
         """What vanished, what is new, and tables that differ though no order has touched them meanwhile."""
         told: list[Event] = [ProxyLeft(proxy) for proxy in world.joined if proxy not in self.joined]
-        told += [event for proxy, event in self.joined.items()
-                 if proxy not in world.joined or event.first_time and not world.joined[proxy]]
+        told += [
+            event
+            for proxy, event in self.joined.items()
+            if proxy not in world.joined or event.first_time and not world.joined[proxy]
+        ]
         told += [Leased(one, False) for one in world.held if one not in self.lines]
         for one, lines in self.lines.items():
             touched = self._calls.touched(one, self._since)
@@ -43,4 +59,6 @@
 
 def _same(held: dict[Backend, float], stored: dict[Backend, float]) -> bool:
     return held.keys() == stored.keys() and all(
-        abs(held[b] - weight) <= WEIGHT_NEAR[0] * weight + WEIGHT_NEAR[1] for b, weight in stored.items())
+        abs(held[b] - weight) <= WEIGHT_NEAR[0] * weight + WEIGHT_NEAR[1]
+        for b, weight in stored.items()
+    )
--- a/lifthinge/memory/world.py
+++ b/lifthinge/memory/world.py
@@ -8,27 +8,31 @@
 >>> world.listed[world.backend("s-b")] = None; world.forget(world.backend("s-b")); list(world.backends)
 ['s-a', 's-b']
 """
+
 from dataclasses import dataclass, field
 from typing import Optional
 
 from lifthinge.interface import Backend, Listing, Proxy, Slice
 
-BACKENDS_MOST = 8192    # known at a time; further ones are strangers
-WITHDRAWN_MOST = 8192   # ids kept of those forgotten while withdrawn: they still are, should they come back
+BACKENDS_MOST = 8192  # known at a time; further ones are strangers
+WITHDRAWN_MOST = (
+    8192  # ids kept of those forgotten while withdrawn: they still are, should they come back
+)
 
 
 @dataclass(eq=False, slots=True)
 class World:
     """What ids mean here, and what stands as last told to the decisions."""
+
     backends: dict[str, Backend] = field(default_factory=dict)
     addresses: dict[Backend, tuple[str, int]] = field(default_factory=dict)
-    listed: dict[Backend, Listing] = field(default_factory=dict)   # not gone
+    listed: dict[Backend, Listing] = field(default_factory=dict)  # not gone
     version: int = -1
     slices: dict[int, Slice] = field(default_factory=dict)
-    held: dict[Slice, None] = field(default_factory=dict)          # in this controller's charge
+    held: dict[Slice, None] = field(default_factory=dict)  # in this controller's charge
     proxies: dict[int, Proxy] = field(default_factory=dict)
-    joined: dict[Proxy, bool] = field(default_factory=dict)        # whether each came fresh
-    withdrawn: dict[str, None] = field(default_factory=dict)       # ids forgotten, oldest first
+    joined: dict[Proxy, bool] = field(default_factory=dict)  # whether each came fresh
+    withdrawn: dict[str, None] = field(default_factory=dict)  # ids forgotten, oldest first
 
     def backend(self, name: str) -> Optional[Backend]:
         """The backend of this id; None if it is new and there is no room."""
--- a/lifthinge/nearest.py
+++ b/lifthinge/nearest.py
@@ -3,6 +3,7 @@
 >>> nearest("elction", ["election", "beat"]), nearest("zzz", ["election"])
 ('election', None)
 """
+
 from difflib import get_close_matches
 from typing import Iterable, Optional
 
--- a/lifthinge/operators.py
+++ b/lifthinge/operators.py
@@ -11,6 +11,7 @@
 >>> read_operators(text, "x.hcl")
 Unfit(file='x.hcl', line=4, key='agreed.members', why='not an address of the form 127.0.0.1:7101')
 """
+
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Annotated, Any, Literal, Optional, Union
@@ -28,6 +29,7 @@
 @dataclass(frozen=True, slots=True)
 class Unfit:
     """Why a file can't be used: where, which key, and what about it."""
+
     file: str
     line: int
     key: str
@@ -56,7 +58,7 @@
 
 
 Address = Annotated[str, AfterValidator(socket_address)]
-Members = Annotated[dict[str, str], AfterValidator(_addresses)]    # addresses by name
+Members = Annotated[dict[str, str], AfterValidator(_addresses)]  # addresses by name
 
 
 class _Part(BaseModel):
@@ -69,16 +71,19 @@
 
 class MemberPart(_Part):
     """One member of the cluster that agrees on the configuration."""
+
     cluster: Name
     name: Name
     listen: Address
     folder: Annotated[str, Field(min_length=1)]
     key_file: str
     client_key_file: str
-    start_with: Members = {}     # the first members, alike at each; empty where it joins a running cluster
+    start_with: Members = {}  # the first members, alike at each; empty where it joins a running cluster
     election_ms: Annotated[float, Field(ge=50, le=60_000)] = 1_000.0
     beat_ms: Annotated[float, Field(ge=5, le=10_000)] = 100.0
-    snapshot_entries: Annotated[int, Field(ge=100, le=10_000_000)] = 20_000    # behind one, then comes another
+    snapshot_entries: Annotated[int, Field(ge=100, le=10_000_000)] = (
+        20_000  # behind one, then comes another
+    )
 
     @field_validator("beat_ms")
     @classmethod
@@ -90,6 +95,7 @@
 
 class AgreedPart(_Part):
     """Where a controller, or the command line, finds the agreed configuration."""
+
     cluster: Name
     members: Annotated[Members, Field(min_length=1)]
     key_file: str
@@ -97,6 +103,7 @@
 
 class CapturePart(_Part):
     """A record of what the decisions were told and ordered; the oldest goes first."""
+
     folder: Annotated[str, Field(min_length=1)]
     budget_mb: Annotated[float, Field(ge=1, le=1_000_000)] = 64.0
     segment_mb: Annotated[float, Field(ge=0.1, le=1_000)] = 4.0
@@ -125,15 +132,22 @@
         return _plain(hcl2.loads(text if text.endswith("\n") else text + "\n"))
     except UnexpectedInput as error:
         line, last = getattr(error, "line", 0), len(text.splitlines())
-        return Unfit(file, min(line, last) if isinstance(line, int) and line > 0 else last, "syntax", "this is no HCL")
-    except Exception as error:      # the library raises what its parser raises
+        return Unfit(
+            file,
+            min(line, last) if isinstance(line, int) and line > 0 else last,
+            "syntax",
+            "this is no HCL",
+        )
+    except Exception as error:  # the library raises what its parser raises
         return Unfit(file, 1, "syntax", f"this is no HCL: {type(error).__name__}")
 
 
 def _plain(data: Any) -> Any:
     """Without the marks that some versions of the library leave on strings and blocks."""
     if isinstance(data, dict):
-        return {_plain(key): _plain(one) for key, one in data.items() if not str(key).startswith("__")}
+        return {
+            _plain(key): _plain(one) for key, one in data.items() if not str(key).startswith("__")
+        }
     if isinstance(data, list):
         return [_plain(one) for one in data]
     if isinstance(data, str) and len(data) > 1 and data[0] == data[-1] == '"':
@@ -146,9 +160,22 @@
     at = 0
     lines = text.splitlines()
     for name in key.replace("]", "").replace("[", ".").split("."):
-        at = next((number for number in range(at, len(lines)) if not name.isdigit()
-                   and lines[number].split("#")[0].replace('"', " ").replace("{", " ").replace("=", " ").split()[:1]
-                   and name in lines[number].replace('"', " ").replace("{", " ").replace("=", " ").split()), at)
+        at = next(
+            (
+                number
+                for number in range(at, len(lines))
+                if not name.isdigit()
+                and lines[number]
+                .split("#")[0]
+                .replace('"', " ")
+                .replace("{", " ")
+                .replace("=", " ")
+                .split()[:1]
+                and name
+                in lines[number].replace('"', " ").replace("{", " ").replace("=", " ").split()
+            ),
+            at,
+        )
     return at + 1
 
 
@@ -166,7 +193,9 @@
         return Operators.model_validate(data)
     except ValidationError as error:
         fault = fault_of(error, Operators)
-        return Unfit(file, line_of(text, fault.key), fault.key, fault.why.removeprefix("Value error, "))
+        return Unfit(
+            file, line_of(text, fault.key), fault.key, fault.why.removeprefix("Value error, ")
+        )
 
 
 def load_operators(path: str) -> Union[Operators, Unfit]:
--- a/lifthinge/raft/image.py
+++ b/lifthinge/raft/image.py
@@ -12,6 +12,7 @@
     ...
 ValueError: entry 9 follows 2
 """
+
 from typing import Optional
 
 from lifthinge.raft.messages import Entry, Kind, Roster, Snapshot
@@ -24,7 +25,7 @@
     def __init__(self) -> None:
         self.term, self.voted = 0, None
         self.snapshot, self.entries = Snapshot(), []
-        self.roster = Roster()      # of a new cluster
+        self.roster = Roster()  # of a new cluster
 
     def vote(self, term: int, voted: Optional[str]) -> None:
         if term < self.term:
--- a/lifthinge/raft/log.py
+++ b/lifthinge/raft/log.py
@@ -13,11 +13,12 @@
 >>> log.compact(Snapshot(9, 4), keep=1); log.last_index, log.last_term, log.entries, log.base
 (9, 4, [], (9, 4))
 """
+
 from typing import Iterable, Optional
 
 from lifthinge.raft.messages import Entry, Kind, Roster, Snapshot, read_roster
 
-ENTRY_COST = 32     # bytes that an entry counts beside its data
+ENTRY_COST = 32  # bytes that an entry counts beside its data
 
 
 class Log:
@@ -29,7 +30,7 @@
     def __init__(self, snapshot: Snapshot = Snapshot(), entries: Iterable[Entry] = ()) -> None:
         self.snapshot, self.base = snapshot, (snapshot.index, snapshot.term)
         self.entries: list[Entry] = []
-        self.bytes = 0      # that the entries held count
+        self.bytes = 0  # that the entries held count
         # Where the roster changed, oldest first: a cut takes the latest back.
         self.rosters: list[tuple[int, Roster]] = [(snapshot.index, snapshot.roster)]
         self.append(entries)
@@ -89,7 +90,7 @@
         start = first - self.base[0] - 1
         assert start >= 0, "compacted away"
         taken, size = [], 0
-        for one in self.entries[start:last - self.base[0]]:
+        for one in self.entries[start : last - self.base[0]]:
             size += len(one.data) + ENTRY_COST
             if taken and size > most_bytes:
                 break
@@ -98,7 +99,9 @@
 
     def bytes_from(self, first: int) -> int:
         """How many bytes the entries from here on count."""
-        return sum(len(one.data) + ENTRY_COST for one in self.entries[max(first - self.base[0] - 1, 0):])
+        return sum(
+            len(one.data) + ENTRY_COST for one in self.entries[max(first - self.base[0] - 1, 0) :]
+        )
 
     def append(self, entries: Iterable[Entry]) -> None:
         for one in entries:
@@ -111,7 +114,7 @@
         """Takes out all entries from `first` on, and the rosters that they brought."""
         assert first > self.snapshot.index, "cuts into the snapshot"
         self.bytes -= self.bytes_from(first)
-        del self.entries[first - self.base[0] - 1:]
+        del self.entries[first - self.base[0] - 1 :]
         while self.rosters[-1][0] >= first:
             self.rosters.pop()
 
@@ -127,7 +130,7 @@
                 first -= 1
             base = first, self.term_at(first)
             self.bytes = self.bytes_from(first + 1)
-            del self.entries[:first - self.base[0]]
+            del self.entries[: first - self.base[0]]
         else:
             base, self.entries, self.bytes = (snapshot.index, snapshot.term), [], 0
         self.snapshot, self.base = snapshot, base
--- a/lifthinge/raft/messages.py
+++ b/lifthinge/raft/messages.py
@@ -12,6 +12,7 @@
     ...
 msgspec.ValidationError: Invalid value 'Roster' - at `$[0]`
 """
+
 from enum import IntEnum
 from typing import Union
 
@@ -20,9 +21,10 @@
 
 class Kind(IntEnum):
     """What an entry holds."""
-    EMPTY = 0       # a leader's first of its term
-    COMMAND = 1     # for the state machine
-    ROSTER = 2      # the members from here on
+
+    EMPTY = 0  # a leader's first of its term
+    COMMAND = 1  # for the state machine
+    ROSTER = 2  # the members from here on
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
@@ -34,6 +36,7 @@
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
     """A member, where it is reached by the others, and whether it votes; one that does not is a learner."""
+
     name: str
     address: str
     votes: bool = True
@@ -41,6 +44,7 @@
 
 class Roster(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """Who the members are; in force from the moment its entry is in the log, committed or not."""
+
     members: tuple[Member, ...] = ()
 
     def get(self, name: str) -> Member | None:
@@ -74,6 +78,7 @@
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
     """The state after the entry `index`; `mark` (a digest of the data) tells two snapshots apart."""
+
     index: int = 0
     term: int = 0
     roster: Roster = Roster()
@@ -83,8 +88,10 @@
 
 # Between members
 
+
 class RequestVote(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """`pre`: would you vote for me; `forced`: the leader itself wants this election (leader transfer)."""
+
     term: int
     last_index: int
     last_term: int
@@ -94,6 +101,7 @@
 
 class Vote(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """A granted pre-vote bears the term it was asked for; any other answer the sender's own."""
+
     term: int
     pre: bool
     granted: bool
@@ -101,6 +109,7 @@
 
 class AppendEntries(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """`beat` numbers the leader's rounds, for ReadIndex and its check of quorum."""
+
     term: int
     prev_index: int
     prev_term: int
@@ -114,6 +123,7 @@
 
     Else, for the refused `prev_index`, the term that stands there and its first index.
     """
+
     term: int
     beat: int
     ok: bool
@@ -126,6 +136,7 @@
 
 class InstallSnapshot(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """One chunk of a snapshot of `size` bytes, from `offset`."""
+
     term: int
     beat: int
     index: int
@@ -139,6 +150,7 @@
 
 class SnapshotReply(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """From where the next chunk is wanted; `done`: nothing more is, all up to `index` is held."""
+
     term: int
     beat: int
     index: int
@@ -149,24 +161,36 @@
 
 class TimeoutNow(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """The receiver has all entries and shall campaign at once."""
+
     term: int
 
 
 class ReadIndex(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """A member asks the leader up to where it must have applied, to serve what is true now."""
+
     term: int
     token: int
 
 
 class ReadReply(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """`index` is -1 where the one asked does not lead, or can't take more reads."""
+
     term: int
     token: int
     index: int
 
 
-Message = Union[RequestVote, Vote, AppendEntries, AppendReply, InstallSnapshot, SnapshotReply, TimeoutNow,
-                ReadIndex, ReadReply]
+Message = Union[
+    RequestVote,
+    Vote,
+    AppendEntries,
+    AppendReply,
+    InstallSnapshot,
+    SnapshotReply,
+    TimeoutNow,
+    ReadIndex,
+    ReadReply,
+]
 
 _decoder = msgspec.msgpack.Decoder(Message)
 _roster_decoder = msgspec.msgpack.Decoder(Roster)
--- a/lifthinge/raft/node.py
+++ b/lifthinge/raft/node.py
@@ -20,6 +20,7 @@
 >>> alone.durable(out.writes[-1].number); [one.data for one in alone.take().applied]
 [b'', b'x']
 """
+
 from collections import deque
 from dataclasses import dataclass, field
 from enum import Enum, auto
@@ -30,13 +31,28 @@
 
 from lifthinge.raft.log import ENTRY_COST, Log
 from lifthinge.raft.messages import (
-    AppendEntries, AppendReply, Entry, InstallSnapshot, Kind, Member, Message, ReadIndex, ReadReply,
-    RequestVote, Roster, Snapshot, SnapshotReply, TimeoutNow, Vote, encode)
+    AppendEntries,
+    AppendReply,
+    Entry,
+    InstallSnapshot,
+    Kind,
+    Member,
+    Message,
+    ReadIndex,
+    ReadReply,
+    RequestVote,
+    Roster,
+    Snapshot,
+    SnapshotReply,
+    TimeoutNow,
+    Vote,
+    encode,
+)
 from lifthinge.raft.progress import Mode, Progress
 
 NEVER = float("inf")
-RECHECK_PART = 0.5      # of the election time-out: when what is under way counts as lost
-KEEP_ENTRIES, KEEP_BYTES = 5_000, 4 << 20   # before the snapshot, for who lags a little
+RECHECK_PART = 0.5  # of the election time-out: when what is under way counts as lost
+KEEP_ENTRIES, KEEP_BYTES = 5_000, 4 << 20  # before the snapshot, for who lags a little
 SNAPSHOT_MOST = 64 << 20
 
 
@@ -49,11 +65,12 @@
 
 class Why(Enum):
     """Why something was refused."""
+
     NOT_LEADER = "not_leader"
-    BUSY = "busy"               # a bound is reached
+    BUSY = "busy"  # a bound is reached
     TOO_LARGE = "too_large"
-    NOT_READY = "not_ready"     # nothing of this term is committed yet
-    CHANGING = "changing"       # another change of members, or a transfer, is under way
+    NOT_READY = "not_ready"  # nothing of this term is committed yet
+    CHANGING = "changing"  # another change of members, or a transfer, is under way
     UNKNOWN_MEMBER = "unknown_member"
     KNOWN_MEMBER = "known_member"
     LAST_VOTER = "last_voter"
@@ -62,6 +79,7 @@
 @dataclass(frozen=True, slots=True)
 class Refused:
     """Refused at once: why, and who leads as far as is known."""
+
     why: Why
     leader: Optional[str] = None
 
@@ -69,19 +87,21 @@
 @dataclass(frozen=True)
 class Pace:
     """The protocol's times (ms) and bounds."""
-    election: float = 1_000.0       # the shortest time without a leader; the longest is twice that
-    beat: float = 100.0             # between a leader's rounds
-    append_bytes: int = 256 << 10   # of one append
-    chunk_bytes: int = 256 << 10    # of a snapshot
-    pending_entries: int = 4_096    # proposed and not committed
+
+    election: float = 1_000.0  # the shortest time without a leader; the longest is twice that
+    beat: float = 100.0  # between a leader's rounds
+    append_bytes: int = 256 << 10  # of one append
+    chunk_bytes: int = 256 << 10  # of a snapshot
+    pending_entries: int = 4_096  # proposed and not committed
     pending_bytes: int = 8 << 20
     entry_most: int = 1 << 20
-    reads_most: int = 4_096         # that wait for a round
+    reads_most: int = 4_096  # that wait for a round
 
 
 @dataclass(frozen=True)
 class Saved:
     """What a member finds on its disk at the start; a new cluster's first members begin with a roster."""
+
     term: int = 0
     voted: Optional[str] = None
     snapshot: Snapshot = Snapshot()
@@ -92,12 +112,13 @@
 @dataclass(slots=True)
 class Write:
     """To be made durable, after all that came before: term and vote, then snapshot, cut and entries."""
+
     number: int
     term: int
     voted: Optional[str]
-    voting: bool = False        # term or vote changed
+    voting: bool = False  # term or vote changed
     snapshot: Optional[Snapshot] = None
-    cut: Optional[int] = None   # entries from here on are void
+    cut: Optional[int] = None  # entries from here on are void
     entries: list[Entry] = field(default_factory=list)
 
 
@@ -106,7 +127,9 @@
     sends: list[tuple[str, Message]] = field(default_factory=list)
     writes: list[Write] = field(default_factory=list)
     applied: list[Union[Entry, Snapshot]] = field(default_factory=list)
-    reads: list[tuple[object, int]] = field(default_factory=list)   # token, index to be applied first; -1: no
+    reads: list[tuple[object, int]] = field(
+        default_factory=list
+    )  # token, index to be applied first; -1: no
 
 
 @dataclass(slots=True)
@@ -124,32 +147,36 @@
 class Raft:
     """One member."""
 
-    def __init__(self, name: str, dice: Random, now: float, saved: Saved, pace: Pace = Pace()) -> None:
+    def __init__(
+        self, name: str, dice: Random, now: float, saved: Saved, pace: Pace = Pace()
+    ) -> None:
         self.name, self.dice, self.pace, self.now = name, dice, pace, now
         self.term, self.voted = saved.term, saved.voted
         first = saved.snapshot if saved.snapshot.index else Snapshot(0, 0, saved.roster)
         self.log = Log(first, saved.entries)
         self.role, self.leader = Role.FOLLOWER, None
-        self.leader_at = float("-inf")      # when the leader was last heard
+        self.leader_at = float("-inf")  # when the leader was last heard
         self.commit = self.applied = self.log.snapshot.index
         self.durable_index, self.saved_term = self.log.last_index, saved.term
-        self.claim = 0                      # up to where the log is the leader's, durable or not
+        self.claim = 0  # up to where the log is the leader's, durable or not
         self.election_at = now + self._patience()
         self.votes: dict[str, bool] = {}
         self.progress: dict[str, Progress] = {}
         self.beat, self.beat_at = 0, NEVER
-        self.term_start = 0                 # a leader's first entry
-        self.pending = [0, 0]               # entries and bytes proposed and not committed
+        self.term_start = 0  # a leader's first entry
+        self.pending = [0, 0]  # entries and bytes proposed and not committed
         self.reads: deque[_Read] = deque()
-        self.beat_wanted = False            # reads wait for a round that has not begun
+        self.beat_wanted = False  # reads wait for a round that has not begun
         self.asked: dict[int, object] = {}  # reads that went to the leader, by number
         self.transfer: Optional[tuple[str, float]] = None
         self.partial: Optional[tuple[InstallSnapshot, bytearray]] = None
         self.elections = self.stepped_down = 0
         self._out, self._write = Out(), None
         self._number = self._durable = 0
-        self._under_way: deque[tuple[int, int, int, int]] = deque()     # write, last index, its term, term
-        self._held: deque[tuple[int, str, Message]] = deque()           # until this write is durable
+        self._under_way: deque[tuple[int, int, int, int]] = (
+            deque()
+        )  # write, last index, its term, term
+        self._held: deque[tuple[int, str, Message]] = deque()  # until this write is durable
         if first.index:
             self._out.applied.append(first)
 
@@ -181,9 +208,16 @@
             return
         if message.term > self.term and not (kind is Vote and message.pre and message.granted):
             self._follow(message.term, None)
-        {Vote: self._voted_for, AppendEntries: self._append, AppendReply: self._append_answered,
-         InstallSnapshot: self._install, SnapshotReply: self._chunk_answered, TimeoutNow: self._take_over,
-         ReadIndex: self._read_asked, ReadReply: self._read_answered}[kind](sender, message)
+        {
+            Vote: self._voted_for,
+            AppendEntries: self._append,
+            AppendReply: self._append_answered,
+            InstallSnapshot: self._install,
+            SnapshotReply: self._chunk_answered,
+            TimeoutNow: self._take_over,
+            ReadIndex: self._read_asked,
+            ReadReply: self._read_answered,
+        }[kind](sender, message)
 
     def propose(self, data: bytes, now: float) -> Union[int, Refused]:
         """An entry for the state machine; its index, which counts only once it is applied in this term."""
@@ -194,7 +228,10 @@
             return Refused(Why.CHANGING, self.name)
         if len(data) > self.pace.entry_most:
             return Refused(Why.TOO_LARGE, self.name)
-        if self.pending[0] >= self.pace.pending_entries or self.pending[1] >= self.pace.pending_bytes:
+        if (
+            self.pending[0] >= self.pace.pending_entries
+            or self.pending[1] >= self.pace.pending_bytes
+        ):
             return Refused(Why.BUSY, self.name)
         return self._add(Kind.COMMAND, data)
 
@@ -228,7 +265,11 @@
             return Refused(Why.KNOWN_MEMBER, self.name)
         if address is None and roster.voters == (name,):
             return Refused(Why.LAST_VOTER, self.name)
-        new = roster.without(name) if address is None else roster.with_member(Member(name, address, votes=False))
+        new = (
+            roster.without(name)
+            if address is None
+            else roster.with_member(Member(name, address, votes=False))
+        )
         return self._add(Kind.ROSTER, encode(new))
 
     def hand_over(self, target: str, now: float) -> Optional[Refused]:
@@ -248,7 +289,9 @@
         """The state machine's state after the entry `index` stands for the log up to there."""
         if not self.log.snapshot.index < index <= self.applied:
             return None
-        snapshot = Snapshot(index, self.log.term_at(index), self.log.roster_at(index), data, mark_of(data))
+        snapshot = Snapshot(
+            index, self.log.term_at(index), self.log.roster_at(index), data, mark_of(data)
+        )
         self.log.compact(snapshot, KEEP_ENTRIES, KEEP_BYTES)
         self._writing().snapshot = snapshot
         return snapshot
@@ -261,8 +304,10 @@
     @property
     def sending_snapshot(self) -> bool:
         """Whether a snapshot is on its way to a member: another would make it begin anew."""
-        return any(one.mode is Mode.SNAPSHOT and self.now - one.heard_at < self.pace.election
-                   for one in self.progress.values())
+        return any(
+            one.mode is Mode.SNAPSHOT and self.now - one.heard_at < self.pace.election
+            for one in self.progress.values()
+        )
 
     def in_touch(self, now: float, within: float) -> bool:
         """Whether a majority was heard of lately: as leader from its answers, else from the leader."""
@@ -281,7 +326,11 @@
             write, self._write = self._write, None
             self._out.writes.append(write)
             last = write.entries[-1] if write.entries else None
-            index, term = (last.index, last.term) if last else (self.log.snapshot.index, self.log.snapshot.term)
+            index, term = (
+                (last.index, last.term)
+                if last
+                else (self.log.snapshot.index, self.log.snapshot.term)
+            )
             self._under_way.append((write.number, index, term, write.term))
         out, self._out = self._out, Out()
         return out
@@ -302,7 +351,10 @@
         elif self.role is Role.LEADER:
             self._advance()
         elif self.leader and self.claim and self.saved_term == self.term:
-            self._send(self.leader, AppendReply(self.term, 0, True, min(self.claim, self.durable_index), self.claim))
+            self._send(
+                self.leader,
+                AppendReply(self.term, 0, True, min(self.claim, self.durable_index), self.claim),
+            )
 
     # Rules on which safety rests.
 
@@ -316,8 +368,10 @@
 
     def _conflict(self, entries: tuple[Entry, ...]) -> int:
         """How many of these we hold already: only what differs is cut, as a late append may be short (5.3)."""
-        return next((place for place, one in enumerate(entries) if self.log.term_at(one.index) != one.term),
-                    len(entries))
+        return next(
+            (place for place, one in enumerate(entries) if self.log.term_at(one.index) != one.term),
+            len(entries),
+        )
 
     def _change_blocked(self) -> Optional[Refused]:
         """One server at a time, and not before an own entry is committed (dissertation 4.1; its 2015 erratum)."""
@@ -380,18 +434,26 @@
             if name != self.name:
                 self._send(name, ask)
         if pre:
-            self._count_vote(self.name, True, pre=True)     # a real one counts once it is durable
+            self._count_vote(self.name, True, pre=True)  # a real one counts once it is durable
 
     def _asked_for_vote(self, sender: str, ask: RequestVote) -> None:
-        led = self.role is Role.LEADER or self.leader is not None and self.now - self.leader_at < self.pace.election
-        if led and not ask.forced:      # who hears a leader lets nobody disturb it (dissertation 4.2.3)
+        led = (
+            self.role is Role.LEADER
+            or self.leader is not None
+            and self.now - self.leader_at < self.pace.election
+        )
+        if led and not ask.forced:  # who hears a leader lets nobody disturb it (dissertation 4.2.3)
             if ask.pre or ask.term <= self.term:
                 self._send(sender, Vote(self.term, ask.pre, False))
             return
         if ask.term > self.term and not ask.pre:
             self._follow(ask.term, None)
         free = ask.pre or self.voted in (None, sender)
-        granted = ask.term >= self.term + ask.pre and free and self._is_current(ask.last_term, ask.last_index)
+        granted = (
+            ask.term >= self.term + ask.pre
+            and free
+            and self._is_current(ask.last_term, ask.last_index)
+        )
         if granted and not ask.pre:
             if self.voted is None:
                 self.voted = sender
@@ -414,8 +476,11 @@
 
     def _lead(self) -> None:
         self.role, self.leader, self.votes = Role.LEADER, self.name, {}
-        self.progress = {one.name: Progress(self.log.last_index + 1, self.now)
-                         for one in self.log.roster.members if one.name != self.name}
+        self.progress = {
+            one.name: Progress(self.log.last_index + 1, self.now)
+            for one in self.log.roster.members
+            if one.name != self.name
+        }
         self.pending = [self.log.last_index - self.commit, self.log.bytes_from(self.commit + 1)]
         self.term_start = self._add(Kind.EMPTY, b"")
         self._begin_beat()
@@ -467,31 +532,57 @@
             if one.next <= self.log.base[0]:
                 self._say_chunk(name, one)
                 return True
-            if one.mode is Mode.SNAPSHOT or one.next > self.log.last_index and one.mode is Mode.STREAM:
+            if (
+                one.mode is Mode.SNAPSHOT
+                or one.next > self.log.last_index
+                and one.mode is Mode.STREAM
+            ):
                 if one.mode is Mode.SNAPSHOT:
                     self._say_chunk(name, one)
                     went = True
                 break
             entries = self.log.between(one.next, self.log.last_index, self.pace.append_bytes)
             self._say_append(name, one, entries)
-            one.sent(entries[-1].index if entries else one.next - 1,
-                     sum(len(entry.data) + ENTRY_COST for entry in entries), self.now)
+            one.sent(
+                entries[-1].index if entries else one.next - 1,
+                sum(len(entry.data) + ENTRY_COST for entry in entries),
+                self.now,
+            )
             went = True
         return went
 
     def _say_append(self, name: str, one: Progress, entries: list[Entry]) -> None:
         prev = max(one.next - 1, self.log.base[0])
-        self._out.sends.append((name, AppendEntries(self.term, prev, self.log.term_at(prev), tuple(entries),
-                                                    self.commit, self.beat)))
+        self._out.sends.append(
+            (
+                name,
+                AppendEntries(
+                    self.term, prev, self.log.term_at(prev), tuple(entries), self.commit, self.beat
+                ),
+            )
+        )
 
     def _say_chunk(self, name: str, one: Progress) -> None:
         snapshot = self.log.snapshot
         one.snapshot(snapshot.index, snapshot.mark)
-        data = snapshot.data[one.offset:one.offset + self.pace.chunk_bytes]
+        data = snapshot.data[one.offset : one.offset + self.pace.chunk_bytes]
         one.sent(0, len(data), self.now)
-        self._out.sends.append((name, InstallSnapshot(
-            self.term, self.beat, snapshot.index, snapshot.term, snapshot.roster, snapshot.mark, len(snapshot.data),
-            one.offset, data)))
+        self._out.sends.append(
+            (
+                name,
+                InstallSnapshot(
+                    self.term,
+                    self.beat,
+                    snapshot.index,
+                    snapshot.term,
+                    snapshot.roster,
+                    snapshot.mark,
+                    len(snapshot.data),
+                    one.offset,
+                    data,
+                ),
+            )
+        )
 
     def _append_answered(self, sender: str, reply: AppendReply) -> None:
         one = self.progress.get(sender)
@@ -499,7 +590,11 @@
             return
         one.heard_at, one.beat = self.now, max(one.beat, reply.beat)
         if reply.ok:
-            one.matched(min(reply.held, self.log.last_index), min(reply.match, self.log.last_index), self.now)
+            one.matched(
+                min(reply.held, self.log.last_index),
+                min(reply.match, self.log.last_index),
+                self.now,
+            )
             self._promote(sender, one)
             self._advance()
             self._press_transfer()
@@ -525,8 +620,13 @@
         voters = self.log.roster.voters
         if not voters:
             return
-        held = sorted((self.durable_index if name == self.name else self.progress[name].match for name in voters),
-                      reverse=True)
+        held = sorted(
+            (
+                self.durable_index if name == self.name else self.progress[name].match
+                for name in voters
+            ),
+            reverse=True,
+        )
         index = held[len(voters) // 2]
         if index > self.commit and self._may_commit(index):
             self._commit_to(index)
@@ -549,8 +649,14 @@
         member = self.log.roster.get(name)
         if member is None or member.votes or one.match < one.round_end:
             return
-        if one.round_end and self.now - one.round_at <= self.pace.election and not self._change_blocked():
-            self._add(Kind.ROSTER, encode(self.log.roster.with_member(Member(name, member.address))))
+        if (
+            one.round_end
+            and self.now - one.round_at <= self.pace.election
+            and not self._change_blocked()
+        ):
+            self._add(
+                Kind.ROSTER, encode(self.log.roster.with_member(Member(name, member.address)))
+            )
         one.round_end, one.round_at = max(self.log.last_index, 1), self.now
 
     def _press_transfer(self) -> None:
@@ -560,7 +666,9 @@
     # Reads.
 
     def _press_reads(self) -> None:
-        while self.reads and self.reads[0].beat <= self.beat and self._confirmed(self.reads[0].beat):
+        while (
+            self.reads and self.reads[0].beat <= self.beat and self._confirmed(self.reads[0].beat)
+        ):
             read = self.reads.popleft()
             self._answer_read(read.token, read.index)
 
@@ -580,7 +688,9 @@
         self._out.reads += [(token, -1) for token in asked.values()]
 
     def _read_asked(self, sender: str, ask: ReadIndex) -> None:
-        if self.role is not Role.LEADER or isinstance(self.read(_Remote(sender, ask.token), self.now), Refused):
+        if self.role is not Role.LEADER or isinstance(
+            self.read(_Remote(sender, ask.token), self.now), Refused
+        ):
             self._send(sender, ReadReply(self.term, ask.token, -1))
 
     def _read_answered(self, sender: str, reply: ReadReply) -> None:
@@ -603,16 +713,25 @@
         self._hear_leader(sender)
         prev, prev_term, entries = said.prev_index, said.prev_term, said.entries
         base = self.log.base[0]
-        if prev < base:     # what is compacted away is committed, and so the same
-            entries = entries[base - prev:]
+        if prev < base:  # what is compacted away is committed, and so the same
+            entries = entries[base - prev :]
             prev, prev_term = base, self.log.base[1]
         stands = self.log.term_at(prev)
         if stands != prev_term:
             first = self.log.last_index + 1 if stands is None else self.log.first_of_term(prev)
-            self._send(sender, AppendReply(self.term, said.beat, False, prev_index=said.prev_index,
-                                           hint_index=first, hint_term=stands or 0))
+            self._send(
+                sender,
+                AppendReply(
+                    self.term,
+                    said.beat,
+                    False,
+                    prev_index=said.prev_index,
+                    hint_index=first,
+                    hint_term=stands or 0,
+                ),
+            )
             return
-        new = entries[self._conflict(entries):]
+        new = entries[self._conflict(entries) :]
         if new and new[0].index <= self.log.last_index:
             assert new[0].index > self.commit, "a committed entry would be cut"
             self._cut(new[0].index)
@@ -620,18 +739,29 @@
             self._store(list(new))
         self.claim = max(self.claim, prev + len(entries))
         self._commit_to(min(said.commit, self.claim))
-        self._send(sender, AppendReply(self.term, said.beat, True, min(self.claim, self.durable_index), self.claim))
+        self._send(
+            sender,
+            AppendReply(
+                self.term, said.beat, True, min(self.claim, self.durable_index), self.claim
+            ),
+        )
 
     def _install(self, sender: str, said: InstallSnapshot) -> None:
         if said.term < self.term:
             self._send(sender, SnapshotReply(self.term, said.beat, said.index, said.mark, 0))
             return
         self._hear_leader(sender)
-        if said.index <= self.commit:   # an older one than what is known: nothing to fetch
+        if said.index <= self.commit:  # an older one than what is known: nothing to fetch
             self.partial = None
-            self._send_after(sender, SnapshotReply(self.term, said.beat, said.index, said.mark, 0, done=True))
+            self._send_after(
+                sender, SnapshotReply(self.term, said.beat, said.index, said.mark, 0, done=True)
+            )
             return
-        if self.partial is None or self.partial[0].mark != said.mark or self.partial[0].index != said.index:
+        if (
+            self.partial is None
+            or self.partial[0].mark != said.mark
+            or self.partial[0].index != said.index
+        ):
             if said.size > SNAPSHOT_MOST:
                 return
             self.partial = said, bytearray()
@@ -639,7 +769,9 @@
         if said.offset == len(data):
             data += said.data
         if len(data) < said.size:
-            self._send(sender, SnapshotReply(self.term, said.beat, said.index, said.mark, len(data)))
+            self._send(
+                sender, SnapshotReply(self.term, said.beat, said.index, said.mark, len(data))
+            )
             return
         self.partial = None
         if len(data) != said.size or mark_of(bytes(data)) != said.mark:
@@ -647,7 +779,7 @@
             return
         snapshot = Snapshot(said.index, said.last_term, said.roster, bytes(data), said.mark)
         kept = self.log.term_at(snapshot.index) == snapshot.term
-        if self._write is not None and self._write.entries:     # entries of before go before it
+        if self._write is not None and self._write.entries:  # entries of before go before it
             self._flush_write()
         self.log.compact(snapshot)
         if not kept:
@@ -656,7 +788,9 @@
         write = self._writing()
         write.snapshot, write.cut = snapshot, None if kept else snapshot.index + 1
         self._out.applied.append(snapshot)
-        self._send_after(sender, SnapshotReply(self.term, said.beat, said.index, said.mark, said.size, done=True))
+        self._send_after(
+            sender, SnapshotReply(self.term, said.beat, said.index, said.mark, said.size, done=True)
+        )
 
     # What is kept, said and applied.
 
@@ -693,8 +827,10 @@
         """Entries from here on are no longer durable, even if they come back: their cut is under way, too."""
         self.durable_index = min(self.durable_index, first - 1)
         before = self.log.term_at(first - 1)
-        self._under_way = deque(one if one[1] < first else (one[0], first - 1, before, one[3])
-                                for one in self._under_way)
+        self._under_way = deque(
+            one if one[1] < first else (one[0], first - 1, before, one[3])
+            for one in self._under_way
+        )
 
     def _commit_to(self, index: int) -> None:
         if index <= self.commit:
@@ -708,7 +844,9 @@
 
     def _send(self, to: str, message: Message) -> None:
         """Says something, yet not before the term that it bears is durable."""
-        if self.saved_term == self.term and not (type(message) is Vote and message.granted and not message.pre):
+        if self.saved_term == self.term and not (
+            type(message) is Vote and message.granted and not message.pre
+        ):
             self._out.sends.append((to, message))
         else:
             self._send_after(to, message)
@@ -724,5 +862,6 @@
 @dataclass(frozen=True, slots=True)
 class _Remote:
     """A read that another member asked for."""
+
     name: str
     number: int
--- a/lifthinge/raft/progress.py
+++ b/lifthinge/raft/progress.py
@@ -16,33 +16,46 @@
 >>> one.refused(20, 12, 64.0), one.refused(69, 12, 64.0), one.next, one.mode.name
 (False, True, 31, 'PROBE')
 """
+
 from collections import deque
 from enum import Enum, auto
 
-INFLIGHT_MOST, INFLIGHT_BYTES = 64, 4 << 20     # appends under way to one member, and their bytes
+INFLIGHT_MOST, INFLIGHT_BYTES = 64, 4 << 20  # appends under way to one member, and their bytes
 
 
 class Mode(Enum):
-    PROBE = auto()      # where the logs part is not known: one append at a time
-    STREAM = auto()     # appends follow one another without waiting
-    SNAPSHOT = auto()   # what it lacks is compacted away: chunks, one at a time
+    PROBE = auto()  # where the logs part is not known: one append at a time
+    STREAM = auto()  # appends follow one another without waiting
+    SNAPSHOT = auto()  # what it lacks is compacted away: chunks, one at a time
 
 
 class Progress:
     """One member, as its leader sees it; a silent one costs no more than its bounds."""
 
-    __slots__ = ("mode", "next", "match", "heard_at", "beat", "inflight", "bytes", "sent_at", "offset", "mark",
-                 "round_end", "round_at")
+    __slots__ = (
+        "mode",
+        "next",
+        "match",
+        "heard_at",
+        "beat",
+        "inflight",
+        "bytes",
+        "sent_at",
+        "offset",
+        "mark",
+        "round_end",
+        "round_at",
+    )
 
     def __init__(self, next: int, now: float) -> None:
         self.mode, self.next, self.match = Mode.PROBE, next, 0
         self.heard_at = now
-        self.beat = 0               # the latest round that it has answered
-        self.inflight: deque[tuple[int, int]] = deque()     # last index, bytes
+        self.beat = 0  # the latest round that it has answered
+        self.inflight: deque[tuple[int, int]] = deque()  # last index, bytes
         self.bytes = 0
-        self.sent_at = float("-inf")        # when a probe or chunk that is unanswered went out
-        self.offset, self.mark = 0, b""     # of the snapshot under way
-        self.round_end, self.round_at = 0, now      # of a learner's catching up: to where, since when
+        self.sent_at = float("-inf")  # when a probe or chunk that is unanswered went out
+        self.offset, self.mark = 0, b""  # of the snapshot under way
+        self.round_end, self.round_at = 0, now  # of a learner's catching up: to where, since when
 
     def may_send(self, now: float, patience: float) -> bool:
         """Whether another append may go out; an unanswered probe is repeated after `patience` ms."""
@@ -75,7 +88,7 @@
         if prev <= self.match or self.mode is Mode.SNAPSHOT:
             return False
         if self.mode is Mode.PROBE and prev != self.next - 1:
-            return False        # of an earlier probe
+            return False  # of an earlier probe
         self._turn(Mode.PROBE)
         self.next = max(self.match + 1, min(hint, prev))
         return True
