--- a/lifthinge/schema.py
+++ b/lifthinge/schema.py
@@ -1,4 +1,5 @@
 """What a schema finds wrong with data, as one fault: the key, and why, with the nearest name for one not known."""
+
 from typing import Any, NamedTuple, Union
 
 from pydantic import BaseModel, ValidationError
@@ -8,6 +9,7 @@
 
 class Fault(NamedTuple):
     """What is wrong, and where."""
+
     key: str
     why: str
 
@@ -15,8 +17,12 @@
 def fault_of(error: ValidationError, model: type[BaseModel]) -> Fault:
     """The first fault that the schema found, with the nearest name for one that it does not know."""
     found = error.errors(include_url=False)
-    first = next((one for one in found if one["type"] == "extra_forbidden"), found[0])     # a name mistyped is missing, too
-    key = "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in first["loc"]).lstrip(".")
+    first = next(
+        (one for one in found if one["type"] == "extra_forbidden"), found[0]
+    )  # a name mistyped is missing, too
+    key = "".join(
+        f"[{part}]" if isinstance(part, int) else f".{part}" for part in first["loc"]
+    ).lstrip(".")
     if first["type"] != "extra_forbidden":
         return Fault(key or "document", first["msg"])
     known, fields = model, model.model_fields
@@ -32,4 +38,6 @@
     """The model that a field's type is, or is a tuple, list or map of."""
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         return annotation
-    return next((found for one in getattr(annotation, "__args__", ()) if (found := _model_in(one))), None)
+    return next(
+        (found for one in getattr(annotation, "__args__", ()) if (found := _model_in(one))), None
+    )
--- a/lifthinge/service/agreed.py
+++ b/lifthinge/service/agreed.py
@@ -1,4 +1,5 @@
 """The agreed document on its way to the decisions: ids become objects here, and `until` is watched."""
+
 import logging
 from typing import Any, Callable, Optional
 
@@ -20,8 +21,16 @@
 class AgreedDoor:
     """Makes the event `ByHand` of the document that is obeyed, whenever it or the list of backends changes."""
 
-    def __init__(self, part: AgreedPart, name: str, books: Books, world: World, site: SiteMap,
-                 tell: Callable[[list[Event]], None], keys: KeyFile) -> None:
+    def __init__(
+        self,
+        part: AgreedPart,
+        name: str,
+        books: Books,
+        world: World,
+        site: SiteMap,
+        tell: Callable[[list[Event]], None],
+        keys: KeyFile,
+    ) -> None:
         self.books, self.world, self.site, self.tell = books, world, site, tell
         self.document: Optional[Document] = None
         self._deadline: Any = None
@@ -31,11 +40,21 @@
     def _told(self, one: talk.Shown) -> None:
         found = read_document(msgspec.msgpack.decode(one.body))
         if isinstance(found, Fault):
-            self.books.notices.note("agreed_unusable", version=one.version, key=found.key, why=found.why)
+            self.books.notices.note(
+                "agreed_unusable", version=one.version, key=found.key, why=found.why
+            )
             return
         self.document = found
-        log.info("agreed", {"version": one.version, "term": one.term, "index": one.index, "author": one.author,
-                            "out": len(found.backends)})
+        log.info(
+            "agreed",
+            {
+                "version": one.version,
+                "term": one.term,
+                "index": one.index,
+                "author": one.author,
+                "out": len(found.backends),
+            },
+        )
         self.tell([self.event()])
 
     def event(self) -> ByHand:
@@ -45,12 +64,21 @@
         later = [one.until for one in out if one.until]
         if self._deadline is not None:
             self._deadline.cancel()
-        self._deadline = self.books.deadlines.set(min(later) - now, lambda: self.tell([self.event()])) if later else None
+        self._deadline = (
+            self.books.deadlines.set(min(later) - now, lambda: self.tell([self.event()]))
+            if later
+            else None
+        )
         zones, methods = self.site.zones, self.site.methods
         return ByHand(
             [found for one in out if (found := self.world.backend(one.id))],
             {zones.index(one.name): one.share for one in document.zones if one.name in zones},
-            {methods.index(one.name): one.criticality for one in document.methods if one.name in methods})
+            {
+                methods.index(one.name): one.criticality
+                for one in document.methods
+                if one.name in methods
+            },
+        )
 
     def close(self) -> None:
         self.follower.close()
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -1,13 +1,36 @@
 """The controller: gathers the events of a loop turn, lets the module decide once, hands the orders on."""
+
 import asyncio
 import logging
 from dataclasses import replace
 from typing import Any, Awaitable, Callable, Coroutine, Iterable, Optional, Protocol
 
 from lifthinge.interface import (
-    ChannelState, Event, FetchList, FleetNews, FollowList, Forget, Form, Leased, Listing, Order, Phase, Probe,
-    OutStands, ProxyJoined, ProxyLeft, RepeatCall, Say, SealConfirmed, SetLine, ShutOut, StoredLine, TellPeers,
-    TimerDue, Wake)
+    ChannelState,
+    Event,
+    FetchList,
+    FleetNews,
+    FollowList,
+    Forget,
+    Form,
+    Leased,
+    Listing,
+    Order,
+    Phase,
+    Probe,
+    OutStands,
+    ProxyJoined,
+    ProxyLeft,
+    RepeatCall,
+    Say,
+    SealConfirmed,
+    SetLine,
+    ShutOut,
+    StoredLine,
+    TellPeers,
+    TimerDue,
+    Wake,
+)
 from lifthinge.memory.books import Books
 from lifthinge.memory.calls import Calls
 from lifthinge.memory.world import World
@@ -21,10 +44,10 @@
 from lifthinge.wire.relay import Relay
 
 log = logging.getLogger(__name__)
-WORK_REST = 250.0           # ms until a line of work that failed goes on
-DISCOVERY_WAIT = 1_000.0    # ms after the start, until the list last held must do
-INBOUND_PART = 0.5          # of the stated sockets
-INBOUND_PER_MB = 4          # of the stated memory: a stranger takes some 10 KiB
+WORK_REST = 250.0  # ms until a line of work that failed goes on
+DISCOVERY_WAIT = 1_000.0  # ms after the start, until the list last held must do
+INBOUND_PART = 0.5  # of the stated sockets
+INBOUND_PER_MB = 4  # of the stated memory: a stranger takes some 10 KiB
 
 
 def _inbound(place: Place) -> int:
@@ -35,49 +58,67 @@
 class Decider(Protocol):
     """What decides: `lifthinge.choice.Choice`."""
 
-    def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
-        ...
+    def decide(self, now: float, events: Iterable[Event]) -> list[Order]: ...
 
 
 class Agreement(Protocol):
     """Where the agreed document comes from: `lifthinge.service.agreed.AgreedDoor`."""
 
-    def event(self) -> Event:
-        ...
+    def event(self) -> Event: ...
 
-    def close(self) -> None:
-        ...
+    def close(self) -> None: ...
 
 
 class Controller:
     """Owns everything that belongs to one controller; settings say what of it exists."""
 
     def __init__(self, place: Place, books: Books, choice: Decider) -> None:
-        self.place, self.books, self.choice, self.world, self.calls = place, books, choice, World(), Calls()
+        self.place, self.books, self.choice, self.world, self.calls = (
+            place,
+            books,
+            choice,
+            World(),
+            Calls(),
+        )
         self.door = Door(place.site, self.world)
         self.reception = Reception(books, self.door, _inbound(place), lambda: self.ready, self.tell)
-        self.relay = Relay(books, self.door, self.calls, place.relay, lambda: self.tell([]), self._refused,
-                           self._given_up)
+        self.relay = Relay(
+            books,
+            self.door,
+            self.calls,
+            place.relay,
+            lambda: self.tell([]),
+            self._refused,
+            self._given_up,
+        )
         self.news = News(books, self.door, self.world, self.calls, place.relay, self._tell_news)
         self.discovery = Discovery(books, self.door, self.world, place.discovery, self._tell_list)
         self.agreed: Optional[Agreement] = None
         self.probes = Probes(books, self.door, self.world, lambda found: self.tell([found]))
-        self.peers = Peers(books, list(place.peers), place.peers_all, place.site.number,
-                           lambda note: self.tell([note]))
-        self.ready = False      # it can decide, and knows what stands
-        self._late = False      # discovery need not be waited for any longer
+        self.peers = Peers(
+            books,
+            list(place.peers),
+            place.peers_all,
+            place.site.number,
+            lambda note: self.tell([note]),
+        )
+        self.ready = False  # it can decide, and knows what stands
+        self._late = False  # discovery need not be waited for any longer
         self._turn_due = False
         self._events: list[Event] = []
         self._tasks: dict[asyncio.Task, str] = {}
         self._carry: dict[type, Callable[[Any], None]] = {
-            Wake: lambda o: self.books.deadlines.set(o.delay, lambda: self.tell([TimerDue(o.handle)])),
+            Wake: lambda o: self.books.deadlines.set(
+                o.delay, lambda: self.tell([TimerDue(o.handle)])
+            ),
             Probe: lambda o: self.probes.probe(o.backend),
             TellPeers: lambda o: self.peers.send(o.peer, o.content),
             RepeatCall: lambda o: self.relay.repeat(o.seal),
             Say: lambda o: log.info("decided", {"what": o.text}),
             FollowList: lambda o: self._follow(o.on),
             Forget: lambda o: self.world.forget(o.backend),
-            FetchList: lambda o: self._run("fetch", self.discovery.fetch)}
+            FetchList: lambda o: self._run("fetch", self.discovery.fetch),
+        }
 
     async def start(self) -> None:
         found = self.discovery.known(self.place.known)
@@ -104,7 +145,10 @@
 
     def reload(self, new: Place) -> None:
         """Goes on by a new configuration: what has moved is met at its new address before the old is left."""
-        former, self.place = self.place, replace(self.place, discovery=new.discovery, relay=new.relay)
+        former, self.place = (
+            self.place,
+            replace(self.place, discovery=new.discovery, relay=new.relay),
+        )
         if new.relay != former.relay:
             self.relay.move(new.relay)
             self.news.move(new.relay)
@@ -113,9 +157,15 @@
             if "follow" in self._tasks.values():
                 self._run("follow", self.discovery.follow, beside=True)
         self.books.counters.add("reloads")
-        log.info("reloaded", {"discovery": "%s:%d" % new.discovery, "relay": "%s:%d" % new.relay,
-                              "moved": (new.relay != former.relay) + (new.discovery != former.discovery),
-                              "needs_restart": ",".join(unfollowed(former, new)) or "nothing"})
+        log.info(
+            "reloaded",
+            {
+                "discovery": "%s:%d" % new.discovery,
+                "relay": "%s:%d" % new.relay,
+                "moved": (new.relay != former.relay) + (new.discovery != former.discovery),
+                "needs_restart": ",".join(unfollowed(former, new)) or "nothing",
+            },
+        )
 
     @staticmethod
     async def _bind(key: str, opened: Awaitable[None]) -> None:
@@ -163,23 +213,35 @@
     def _given_up(self, orders: list[Order]) -> None:
         """A whole call was given up: tables are told anew, withdrawals stand as they did before."""
         self.news.renew()
-        self.tell([OutStands(one.backend, not one.out) for one in orders if isinstance(one, ShutOut)])
+        self.tell(
+            [OutStands(one.backend, not one.out) for one in orders if isinstance(one, ShutOut)]
+        )
 
     def _refused(self, order: Order) -> None:
         """The relay could not use an order, as it knows no such backend: the decisions hear what stands instead."""
         if isinstance(order, SetLine) and order.slice in self.world.held:
-            gone = Listing(order.backend, order.backend.zone, 0, Phase.GONE, 0.0, order.backend.size)
+            gone = Listing(
+                order.backend, order.backend.zone, 0, Phase.GONE, 0.0, order.backend.size
+            )
             self.world.listed.pop(order.backend, None)
-            lines = [StoredLine(order.slice, backend, weight) for backend, weight in order.slice.lines.items()
-                     if backend is not order.backend]
+            lines = [
+                StoredLine(order.slice, backend, weight)
+                for backend, weight in order.slice.lines.items()
+                if backend is not order.backend
+            ]
             self.tell([FleetNews(Form.DELTA, [gone]), Leased(order.slice, True), *lines])
 
     def _turn(self) -> None:
         events, self._events, self._turn_due = self._events, [], False
-        began, way = self.books.now, ChannelState(not self.calls, self.relay.unknown, self.relay.broken)
+        began, way = (
+            self.books.now,
+            ChannelState(not self.calls, self.relay.unknown, self.relay.broken),
+        )
         try:
             orders = self.choice.decide(began, [way, *events])
-        except Exception as error:  # what is decided next may be better; who asks hears that it is not well
+        except (
+            Exception
+        ) as error:  # what is decided next may be better; who asks hears that it is not well
             log.error("decision_failed", {"error": repr(error)}, exc_info=True)
             self.books.counters.add("decision_failed")
             self.ready = False
@@ -198,8 +260,14 @@
         listed = self.discovery.answered or self._late or self.place.site.news_on_request
         if not self.ready and self.news.stood and listed:
             self.ready = True
-            log.info("ready", {"backends": len(self.world.listed), "proxies": len(self.world.joined),
-                               "slices": len(self.world.held)})
+            log.info(
+                "ready",
+                {
+                    "backends": len(self.world.listed),
+                    "proxies": len(self.world.joined),
+                    "slices": len(self.world.held),
+                },
+            )
             self.reception.answer_beats()
 
     def _wait_no_more(self) -> None:
@@ -216,7 +284,9 @@
         for task in [task for task, other in self._tasks.items() if other == name]:
             task.cancel()
 
-    def _run(self, name: str, work: Callable[[], Coroutine[Any, Any, None]], beside: bool = False) -> None:
+    def _run(
+        self, name: str, work: Callable[[], Coroutine[Any, Any, None]], beside: bool = False
+    ) -> None:
         """Runs one line of work; another under the same name gives way to it, if they don't go on beside."""
         if not beside:
             self._end(name)
--- a/lifthinge/service/environment.py
+++ b/lifthinge/service/environment.py
@@ -1,4 +1,5 @@
 """What the environment and the configuration tell a controller of where it stands."""
+
 import json
 from dataclasses import dataclass, fields
 from typing import Any, Mapping, Optional
@@ -8,9 +9,9 @@
 from lifthinge.wire.door import address
 
 SOCKETS_LEAST, MEMORY_LEAST = 64, 24
-MEMORY_USUAL = 192      # MB, where the configuration says nothing
-FOLLOWED = {"discovery", "relay"}   # what a new configuration may move
-OF_A_START = {"known", "seed"}      # what means nothing to a program that runs
+MEMORY_USUAL = 192  # MB, where the configuration says nothing
+FOLLOWED = {"discovery", "relay"}  # what a new configuration may move
+OF_A_START = {"known", "seed"}  # what means nothing to a program that runs
 Address = tuple[str, int]
 
 
@@ -25,6 +26,7 @@
 @dataclass(frozen=True)
 class Place:
     """Where this controller stands, and among whom."""
+
     name: str
     listen: Address
     discovery: Address
@@ -61,8 +63,11 @@
         raise BadStart("ROUTER_CONFIG", f"not JSON: {error}") from None
     if not isinstance(conf, dict):
         raise BadStart("ROUTER_CONFIG", "not an object")
-    discovery = _address("discovery", conf.get("discovery")) if anew else _address(
-        "ROUTER_DISCOVERY", environment["ROUTER_DISCOVERY"])
+    discovery = (
+        _address("discovery", conf.get("discovery"))
+        if anew
+        else _address("ROUTER_DISCOVERY", environment["ROUTER_DISCOVERY"])
+    )
     limits = _part(conf, "limits")
     try:
         terms, site = read_terms(conf.get("settings")), read_map(conf.get("settings"))
@@ -72,14 +77,22 @@
     if not isinstance(peers, list):
         raise BadStart("peers", "not a list")
     return Place(
-        name=environment["ROUTER_NAME"], listen=listen, discovery=discovery,
+        name=environment["ROUTER_NAME"],
+        listen=listen,
+        discovery=discovery,
         relay=_address("distributor.address", _part(conf, "distributor").get("address")),
         peer_listen=_address("peer_listen", conf.get("peer_listen")) if site.peers else None,
         peers=tuple(_address("peers", one) for one in peers),
-        peers_all=_address("peers_all", conf["peers_all"]) if site.peers and conf.get("peers_all") else None,
-        seed=_seed(conf.get("seed")), sockets=_sockets(limits.get("sockets")),
+        peers_all=_address("peers_all", conf["peers_all"])
+        if site.peers and conf.get("peers_all")
+        else None,
+        seed=_seed(conf.get("seed")),
+        sockets=_sockets(limits.get("sockets")),
         memory_mb=_memory(limits.get("memory_mb", MEMORY_USUAL)),
-        known=_part(conf, "known"), terms=terms, site=site)
+        known=_part(conf, "known"),
+        terms=terms,
+        site=site,
+    )
 
 
 def _part(conf: dict[str, Any], key: str) -> dict[str, Any]:
@@ -102,7 +115,9 @@
     try:
         return int(text, 16)
     except (TypeError, ValueError):
-        raise BadStart("seed", "not a hexadecimal number" if text is not None else "missing") from None
+        raise BadStart(
+            "seed", "not a hexadecimal number" if text is not None else "missing"
+        ) from None
 
 
 def _sockets(count: Any) -> int:
@@ -119,5 +134,9 @@
 
 def unfollowed(former: Place, new: Place) -> list[str]:
     """What a new configuration says otherwise that only a start takes up."""
-    return [one.name for one in fields(Place) if one.name not in FOLLOWED | OF_A_START
-            and getattr(former, one.name) != getattr(new, one.name)]
+    return [
+        one.name
+        for one in fields(Place)
+        if one.name not in FOLLOWED | OF_A_START
+        and getattr(former, one.name) != getattr(new, one.name)
+    ]
--- a/lifthinge/service/logs.py
+++ b/lifthinge/service/logs.py
@@ -10,6 +10,7 @@
 >>> formatter("json").format(record)
 '{"time": "1.500", "level": "warning", "event": "bad_news", "why": "a b", "n": 1, "ms": 2.5}'
 """
+
 import json
 import logging
 import sys
@@ -23,16 +24,22 @@
     record: logging.LogRecord = event["_record"]
     fields = event.get("positional_args")
     fields = fields if isinstance(fields, dict) else {}
-    found = {"time": f"{record.created:.3f}", "level": record.levelname.lower(),
-             "event": record.msg if fields else event["event"], **fields}
+    found = {
+        "time": f"{record.created:.3f}",
+        "level": record.levelname.lower(),
+        "event": record.msg if fields else event["event"],
+        **fields,
+    }
     if event.get("exc_info"):
         found["exc_info"] = event["exc_info"]
     return found
 
 
 def _short(logger: Any, name: str, event: dict[str, Any]) -> dict[str, Any]:
-    return {key: f"{one:.3f}".rstrip("0").rstrip(".") if isinstance(one, float) else one
-            for key, one in event.items()}
+    return {
+        key: f"{one:.3f}".rstrip("0").rstrip(".") if isinstance(one, float) else one
+        for key, one in event.items()
+    }
 
 
 def _trace(logger: Any, name: str, event: dict[str, Any]) -> dict[str, Any]:
@@ -54,7 +61,9 @@
 def formatter(form: str = "key-value") -> logging.Formatter:
     """What renders records: `key-value` or `json`."""
     last = [structlog.processors.JSONRenderer()] if form == "json" else [_short, _line]
-    return structlog.stdlib.ProcessorFormatter(processors=[_gather, _trace, *last], pass_foreign_args=True)
+    return structlog.stdlib.ProcessorFormatter(
+        processors=[_gather, _trace, *last], pass_foreign_args=True
+    )
 
 
 def start(form: str = "key-value") -> None:
--- a/lifthinge/service/member.py
+++ b/lifthinge/service/member.py
@@ -1,4 +1,5 @@
 """Start and stop of a member of the cluster."""
+
 import asyncio
 import logging
 import os
@@ -40,17 +41,23 @@
     try:
         disk = open_disk(kind(Path(part.folder)))
     except OSError as error:
-        raise BadMember(f"{path}: member.folder: {part.folder}: {error.strerror or error}") from None
+        raise BadMember(
+            f"{path}: member.folder: {part.folder}: {error.strerror or error}"
+        ) from None
     if isinstance(disk, Damage):
         raise BadMember(f"{path}: member.folder: {part.folder}/{disk}")
     if disk.cluster is None:
         if disk.image.term or disk.image.entries:
             raise BadMember(f"{path}: member.folder: {part.folder}: does not say whose it is")
-        first = Roster(tuple(Member(name, address) for name, address in sorted(part.start_with.items())))
+        first = Roster(
+            tuple(Member(name, address) for name, address in sorted(part.start_with.items()))
+        )
         disk.begin(Cluster(part.cluster, part.name, first))
     elif (disk.cluster.cluster, disk.cluster.member) != (part.cluster, part.name):
-        raise BadMember(f"{path}: member.folder: {part.folder}: belongs to {disk.cluster.member} of"
-                        f" {disk.cluster.cluster}")
+        raise BadMember(
+            f"{path}: member.folder: {part.folder}: belongs to {disk.cluster.member} of"
+            f" {disk.cluster.cluster}"
+        )
     return disk
 
 
@@ -69,21 +76,39 @@
     def fatal(why: str) -> None:
         failed.append(why)
         over.set()
+
     disk = _open(part, path, kind)
-    seat = Seat(part.cluster, part.name, split_address(part.listen),
-                Pace(election=part.election_ms, beat=part.beat_ms), keys, part.snapshot_entries)
+    seat = Seat(
+        part.cluster,
+        part.name,
+        split_address(part.listen),
+        Pace(election=part.election_ms, beat=part.beat_ms),
+        keys,
+        part.snapshot_entries,
+    )
     member = MemberServer(seat, books, disk, fatal)
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, over.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: None)    # keys are read again by themselves
+    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # keys are read again by themselves
     loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("counters", counters(books)))
     try:
         await member.start()
     except OSError as error:
         await member.stop()
-        raise BadMember(f"{path}: member.listen: {part.listen}: {error.strerror or error}") from None
-    log.info("member_started", {"member": part.name, "cluster": part.cluster, "listen": "%s:%d" % member.where,
-                                "term": member.raft.term, "last": member.raft.log.last_index, "pid": os.getpid()})
+        raise BadMember(
+            f"{path}: member.listen: {part.listen}: {error.strerror or error}"
+        ) from None
+    log.info(
+        "member_started",
+        {
+            "member": part.name,
+            "cluster": part.cluster,
+            "listen": "%s:%d" % member.where,
+            "term": member.raft.term,
+            "last": member.raft.log.last_index,
+            "pid": os.getpid(),
+        },
+    )
     await over.wait()
     await member.stop()
     log.info("stopped", counters(books))
--- a/lifthinge/service/run.py
+++ b/lifthinge/service/run.py
@@ -1,4 +1,5 @@
 """Start and stop of the program."""
+
 import asyncio
 import logging
 import os
@@ -34,16 +35,27 @@
 def make_books(seed: int, sockets: int) -> Books:
     loop, now, counters = asyncio.get_running_loop(), unix_clock(), Counters()
     deadlines = Deadlines(now, lambda delay, run: loop.call_later(delay / MS, run))
-    return Books(deadlines, counters, Notices(logging.getLogger("lifthinge"), counters, now),
-                 Slots(sockets * 3 // 4), Slots(sockets // 2), Random(seed))
+    return Books(
+        deadlines,
+        counters,
+        Notices(logging.getLogger("lifthinge"), counters, now),
+        Slots(sockets * 3 // 4),
+        Slots(sockets // 2),
+        Random(seed),
+    )
 
 
 def counters(books: Books) -> dict[str, float]:
     """All counters, and what the process has used so far."""
     used = resource.getrusage(resource.RUSAGE_SELF)
-    return {**books.counters.fields(), "cpu_s": used.ru_utime + used.ru_stime,
-            "memory_mb": used.ru_maxrss / 1024, "loop_delay_ms": books.deadlines.latest,
-            "connections": len(books.connections), "descriptors": len(os.listdir("/proc/self/fd"))}
+    return {
+        **books.counters.fields(),
+        "cpu_s": used.ru_utime + used.ru_stime,
+        "memory_mb": used.ru_maxrss / 1024,
+        "loop_delay_ms": books.deadlines.latest,
+        "connections": len(books.connections),
+        "descriptors": len(os.listdir("/proc/self/fd")),
+    }
 
 
 def reload(controller: Controller) -> None:
@@ -60,11 +72,21 @@
         return
     from lifthinge.cluster.keys import NoKeys
     from lifthinge.service.agreed import AgreedDoor, need_keys
+
     keys = need_keys(operators.agreed)
     if isinstance(keys, NoKeys):
         raise BadStart("agreed.key_file", f"{keys.path}: {keys.why}")
-    controller.agree(AgreedDoor(operators.agreed, controller.place.name, controller.books, controller.world,
-                                controller.place.site, controller.tell, keys))
+    controller.agree(
+        AgreedDoor(
+            operators.agreed,
+            controller.place.name,
+            controller.books,
+            controller.world,
+            controller.place.site,
+            controller.tell,
+            keys,
+        )
+    )
 
 
 def decider(place: Place, books: Books, operators: Optional["Operators"]) -> Decider:
@@ -73,9 +95,12 @@
     if operators is None or operators.capture is None:
         return choice
     from lifthinge.capture.capture import open_capture
+
     part, head = operators.capture, {"name": place.name, "seed": place.seed, "life": books.now}
     try:
-        return open_capture(choice, part.folder, part.budget_mb, part.segment_mb, head, books.counters)
+        return open_capture(
+            choice, part.folder, part.budget_mb, part.segment_mb, head, books.counters
+        )
     except OSError as error:
         raise BadStart("capture.folder", f"{part.folder}: {error.strerror or error}") from None
 
--- a/lifthinge/store/files.py
+++ b/lifthinge/store/files.py
@@ -2,6 +2,7 @@
 
 A file's bytes are durable after `sync`, its name after `sync_folder`.
 """
+
 import fcntl
 import os
 from pathlib import Path
@@ -43,7 +44,7 @@
     def write(self, file: int, data: bytes) -> None:
         view = memoryview(data)
         while view:
-            view = view[os.write(file, view):]
+            view = view[os.write(file, view) :]
 
     def sync(self, file: int) -> None:
         os.fdatasync(file)
--- a/lifthinge/store/records.py
+++ b/lifthinge/store/records.py
@@ -15,12 +15,13 @@
 >>> end_of(bytearray(one) + bytes(40), 0)       # zeros of a tail that never came
 20
 """
+
 import struct
 from typing import Iterator, NamedTuple, Union
 
 import crc32c
 
-_HEAD = struct.Struct("<IIBQ")      # length, checksum, kind, durable up to
+_HEAD = struct.Struct("<IIBQ")  # length, checksum, kind, durable up to
 HEAD = _HEAD.size
 RECORD_MOST = 80 << 20
 
@@ -34,6 +35,7 @@
 
 class Spoilt(NamedTuple):
     """A record that can't be read although it was durable once."""
+
     at: int
 
 
@@ -50,7 +52,7 @@
     length, check, kind, durable = _HEAD.unpack_from(view, at)
     if length > RECORD_MOST or at + HEAD + length > len(view) or durable > at:
         return None
-    data = bytes(view[at + HEAD:at + HEAD + length])
+    data = bytes(view[at + HEAD : at + HEAD + length])
     if crc32c.crc32c(data, crc32c.crc32c(_HEAD.pack(length, 0, kind, durable))) != check:
         return None
     return Record(at, kind, data, durable)
@@ -69,7 +71,9 @@
     end = start
     for record in scan(view, start):
         end = record.at + HEAD + len(record.data)
-    if end + HEAD <= len(view):     # most often the bytes are spoilt and the length is not: look there first
+    if end + HEAD <= len(
+        view
+    ):  # most often the bytes are spoilt and the length is not: look there first
         after = read(view, end + HEAD + _HEAD.unpack_from(view, end)[0])
         if after is not None and after.durable > end:
             return Spoilt(end)
--- a/lifthinge/store/store.py
+++ b/lifthinge/store/store.py
@@ -17,6 +17,7 @@
 (True, ['lock', 'log-00000002', 'snapshot-00000002'])
 >>> store.close()
 """
+
 import struct
 from dataclasses import dataclass
 from pathlib import Path
@@ -28,17 +29,18 @@
 from lifthinge.store.files import Files
 from lifthinge.store.records import Spoilt
 
-SEGMENT_MOST = 32 << 20     # bytes, then another segment begins
-BUFFER_MOST = 1 << 20       # bytes gathered before they are handed to the system
-_SEGMENT = struct.Struct("<8sIQQI")     # magic, format, number, length of the one before, checksum
-_SNAPSHOT = struct.Struct("<8sIQQI")    # magic, format, first segment after it, length, checksum
+SEGMENT_MOST = 32 << 20  # bytes, then another segment begins
+BUFFER_MOST = 1 << 20  # bytes gathered before they are handed to the system
+_SEGMENT = struct.Struct("<8sIQQI")  # magic, format, number, length of the one before, checksum
+_SNAPSHOT = struct.Struct("<8sIQQI")  # magic, format, first segment after it, length, checksum
 _MAGIC, _SNAPSHOT_MAGIC, _FORMAT = b"lifthlog", b"lifthsnp", 1
-NO_CHAIN = (1 << 64) - 1    # the first segment after a snapshot names none before it
+NO_CHAIN = (1 << 64) - 1  # the first segment after a snapshot names none before it
 
 
 @dataclass(frozen=True, slots=True)
 class Damage:
     """Why a folder can't be used: nothing is made up in place of what is lost."""
+
     file: str
     offset: int
     why: str
@@ -50,13 +52,14 @@
 @dataclass(slots=True)
 class Found:
     """What a folder holds, read without changing it."""
+
     snapshot: Union[bytes, None]
-    first: int                      # segment after the snapshot
+    first: int  # segment after the snapshot
     last: int
     records: list[tuple[int, bytes]]
-    end: int                        # of the last segment's sound records
-    torn: int                       # bytes after that
-    stale: list[str]                # files that a crash left behind
+    end: int  # of the last segment's sound records
+    torn: int  # bytes after that
+    stale: list[str]  # files that a crash left behind
 
 
 def _name(kind: str, number: int) -> str:
@@ -64,8 +67,11 @@
 
 
 def _numbers(names: list[str], kind: str) -> list[int]:
-    return [int(name[len(kind) + 1:]) for name in names
-            if name.startswith(kind + "-") and name[len(kind) + 1:].isdigit()]
+    return [
+        int(name[len(kind) + 1 :])
+        for name in names
+        if name.startswith(kind + "-") and name[len(kind) + 1 :].isdigit()
+    ]
 
 
 def _head(form: struct.Struct, magic: bytes, first: int, second: int, data: bytes = b"") -> bytes:
@@ -77,11 +83,14 @@
     if len(view) < _SNAPSHOT.size:
         return Damage(name, len(view), "a snapshot without its head")
     magic, form, first, length, _ = _SNAPSHOT.unpack_from(view)
-    data = view[_SNAPSHOT.size:]
+    data = view[_SNAPSHOT.size :]
     if magic != _SNAPSHOT_MAGIC or form != _FORMAT:
         return Damage(name, 0, "no snapshot of a format known here")
-    if first != number or length != len(data) or view[:_SNAPSHOT.size] != _head(
-            _SNAPSHOT, _SNAPSHOT_MAGIC, first, length, data):
+    if (
+        first != number
+        or length != len(data)
+        or view[: _SNAPSHOT.size] != _head(_SNAPSHOT, _SNAPSHOT_MAGIC, first, length, data)
+    ):
         return Damage(name, 0, "the checksum of the snapshot does not fit")
     return data
 
@@ -98,14 +107,20 @@
             return snapshot
     elif segments and first != 1:
         return Damage(_name("log", first), 0, "the snapshot before this segment is missing")
-    unnamed = _name("log", first) + ".new"      # complete before the snapshot got its name, its own name lost
+    unnamed = (
+        _name("log", first) + ".new"
+    )  # complete before the snapshot got its name, its own name lost
     if snapshot is not None and first not in segments:
         if unnamed not in names:
             return Damage(_name("log", first), 0, "the segment after the snapshot is missing")
         segments = [*segments, first]
     stale = [_name("snapshot", one) for one in snapshots if one < first]
     stale += [_name("log", one) for one in segments if one < first]
-    stale += [one for one in names if one.endswith(".new") and (one != unnamed or first in _numbers(names, "log"))]
+    stale += [
+        one
+        for one in names
+        if one.endswith(".new") and (one != unnamed or first in _numbers(names, "log"))
+    ]
     segments = sorted(one for one in segments if one >= first)
     found, end, torn, last = [], 0, 0, first - 1
     for place, number in enumerate(segments):
@@ -114,13 +129,19 @@
             return Damage(_name("log", last + 1), 0, "this segment is missing")
         view = files.read(name if name in names else unnamed)
         before = NO_CHAIN if number == first else end
-        if final and number != first and view[:_SEGMENT.size] == _head(_SEGMENT, _MAGIC, number, NO_CHAIN):
-            stale.append(name)      # begun for a snapshot that never got its name
+        if (
+            final
+            and number != first
+            and view[: _SEGMENT.size] == _head(_SEGMENT, _MAGIC, number, NO_CHAIN)
+        ):
+            stale.append(name)  # begun for a snapshot that never got its name
             break
-        if view[:_SEGMENT.size] != _head(_SEGMENT, _MAGIC, number, before):
+        if view[: _SEGMENT.size] != _head(_SEGMENT, _MAGIC, number, before):
             if not final or len(view) > _SEGMENT.size or number == first and snapshot is not None:
-                return Damage(name, 0, "the segment's head can't be read, or names another length before it")
-            stale.append(name)      # a crash while it was begun: nothing in it was ever durable
+                return Damage(
+                    name, 0, "the segment's head can't be read, or names another length before it"
+                )
+            stale.append(name)  # a crash while it was begun: nothing in it was ever durable
             break
         stop = records.end_of(view, _SEGMENT.size)
         if isinstance(stop, Spoilt):
@@ -203,7 +224,9 @@
         name = _name("snapshot", number)
         file = self.files.open(name + ".new")
         try:
-            self.files.write(file, _head(_SNAPSHOT, _SNAPSHOT_MAGIC, number, len(data), data) + data)
+            self.files.write(
+                file, _head(_SNAPSHOT, _SNAPSHOT_MAGIC, number, len(data), data) + data
+            )
             self.files.sync(file)
         finally:
             self.files.close(file)
--- a/lifthinge/tables.py
+++ b/lifthinge/tables.py
@@ -1,4 +1,5 @@
 """Arithmetic on a slice's lines: a dictionary from backend to weight, some of them withdrawn."""
+
 from lifthinge.interface import Backend
 
 
@@ -22,7 +23,9 @@
     (0.75, 0.0)
     """
     own = lines.get(backend, 0.0)
-    beside = sum(weight for other, weight in lines.items() if other is not backend and not other.shut_out)
+    beside = sum(
+        weight for other, weight in lines.items() if other is not backend and not other.shut_out
+    )
     return own / (own + beside) if own else 0.0
 
 
--- a/lifthinge/terms.py
+++ b/lifthinge/terms.py
@@ -1,14 +1,15 @@
 """Settings JSON to what is read of it: the site's terms, and the names and ways of its surroundings."""
+
 from dataclasses import dataclass
 from typing import Any
 
 from lifthinge.interface import Method, SiteTerms
 
 MS = 1000.0
-NOISE_MOST = 2.0            # times the true mean: reports are a little noisy
-PERIODS_MOST = 100          # report periods that one sum covers
-TURNS_MOST = 10             # RPCs that one place at a backend serves within the shortest soft deadline
-BACKENDS_LARGER = 2         # times the connections of the smallest backend
+NOISE_MOST = 2.0  # times the true mean: reports are a little noisy
+PERIODS_MOST = 100  # report periods that one sum covers
+TURNS_MOST = 10  # RPCs that one place at a backend serves within the shortest soft deadline
+BACKENDS_LARGER = 2  # times the connections of the smallest backend
 
 
 class BadTerms(Exception):
@@ -18,15 +19,16 @@
 @dataclass(frozen=True)
 class SiteMap:
     """The names that a site uses, and what it has."""
+
     zones: tuple[str, ...]
     methods: tuple[str, ...]
     load_fields: tuple[str, ...]
     slices: int
     proxies: int
-    took_most: float        # ms that a report's tries may have taken on the mean
-    span_most: float        # ms that it may cover
-    rate_most: float        # tries a millisecond that it may tell
-    number: int             # this controller's, among those of its tier
+    took_most: float  # ms that a report's tries may have taken on the mean
+    span_most: float  # ms that it may cover
+    rate_most: float  # tries a millisecond that it may tell
+    number: int  # this controller's, among those of its tier
     probes: bool
     peers: bool
     news_on_request: bool
@@ -65,14 +67,24 @@
     special, rules = conf["Specifics"], conf["Rules"]
     return SiteTerms(
         methods=tuple(
-            Method(one["Target"] * MS, one["Deadline"] * MS, one["Worth"]) for one in conf["Services"]),
-        sliced=special["Ranges"] > 0, one_owner=bool(special.get("OneOwner", False)),
-        news_on_request=conf["MembershipMode"] == "ask", sizes_told=conf["Weights"] != "silent",
-        levels=special["Admit"], report_every=special["ReportEvery"] * MS,
-        channel_rate=special["ChannelRate"] / MS, head_lines=special["FixedCost"],
-        pending_max=special["PendingMax"], pushes_allowed=special["PushesAllowed"],
-        update_window=special["UpdateWindow"] * MS, warm_up=rules["WarmUp"] * MS,
-        transit_max=special["TransitMax"] * MS, proxies=max(int(special["DataPlaneSize"]), 1))
+            Method(one["Target"] * MS, one["Deadline"] * MS, one["Worth"])
+            for one in conf["Services"]
+        ),
+        sliced=special["Ranges"] > 0,
+        one_owner=bool(special.get("OneOwner", False)),
+        news_on_request=conf["MembershipMode"] == "ask",
+        sizes_told=conf["Weights"] != "silent",
+        levels=special["Admit"],
+        report_every=special["ReportEvery"] * MS,
+        channel_rate=special["ChannelRate"] / MS,
+        head_lines=special["FixedCost"],
+        pending_max=special["PendingMax"],
+        pushes_allowed=special["PushesAllowed"],
+        update_window=special["UpdateWindow"] * MS,
+        warm_up=rules["WarmUp"] * MS,
+        transit_max=special["TransitMax"] * MS,
+        proxies=max(int(special["DataPlaneSize"]), 1),
+    )
 
 
 def _map(conf: dict[str, Any]) -> SiteMap:
@@ -85,12 +97,16 @@
     multiplex = max(conf["Limits"].get("Multiplex", 1), 1)
     at_once = special.get("ConnsLeast", float("inf")) * BACKENDS_LARGER * multiplex
     return SiteMap(
-        zones=tuple(conf["Zones"]), methods=tuple(one["Name"] for one in conf["Services"]),
-        load_fields=tuple(conf.get("Report", {}).get("Fields", ())), slices=int(special["Ranges"]),
+        zones=tuple(conf["Zones"]),
+        methods=tuple(one["Name"] for one in conf["Services"]),
+        load_fields=tuple(conf.get("Report", {}).get("Fields", ())),
+        slices=int(special["Ranges"]),
         proxies=int(special["DataPlaneSize"]),
         took_most=max(one["Deadline"] for one in services) * MS * NOISE_MOST,
         span_most=special["ReportEvery"] * MS * PERIODS_MOST,
         rate_most=at_once * TURNS_MOST / (min(one["Target"] for one in services) * MS),
         number=int(conf["SlotNo"]),
-        probes=bool(conf["Limits"].get("Probes", False)), peers=bool(conf["Limits"].get("MayTell", False)),
-        news_on_request=conf["MembershipMode"] == "ask")
+        probes=bool(conf["Limits"].get("Probes", False)),
+        peers=bool(conf["Limits"].get("MayTell", False)),
+        news_on_request=conf["MembershipMode"] == "ask",
+    )
--- a/lifthinge/wire/buffer.py
+++ b/lifthinge/wire/buffer.py
@@ -38,13 +38,15 @@
         if self._end > len(self._data) * 3 // 4:
             held = len(self)
             if held * 2 > len(self._data) and len(self._data) < self.limit:
-                grown = bytearray(min(len(self._data) * 2, self.limit))   # a new one: views pin the old
-                grown[:held] = self._data[self._start:self._end]
+                grown = bytearray(
+                    min(len(self._data) * 2, self.limit)
+                )  # a new one: views pin the old
+                grown[:held] = self._data[self._start : self._end]
                 self._data = grown
             else:
-                self._data[:held] = self._data[self._start:self._end]
+                self._data[:held] = self._data[self._start : self._end]
             self._start, self._end = 0, held
-        return memoryview(self._data)[self._end:]
+        return memoryview(self._data)[self._end :]
 
     def wrote(self, count: int) -> None:
         self._end += count
@@ -55,7 +57,7 @@
         return at - self._start if at >= 0 else -1
 
     def peek(self, start: int, end: int) -> bytes:
-        return bytes(self._data[self._start + start:min(self._start + end, self._end)])
+        return bytes(self._data[self._start + start : min(self._start + end, self._end)])
 
     def take(self, count: int) -> bytes:
         taken = self.peek(0, count)
@@ -65,5 +67,5 @@
     def cut(self, at: int, count: int) -> None:
         """Takes out bytes in the middle; what follows moves down."""
         first, last = self._start + at, self._start + at + count
-        self._data[first:first + self._end - last] = self._data[last:self._end]
+        self._data[first : first + self._end - last] = self._data[last : self._end]
         self._end -= count
--- a/lifthinge/wire/client.py
+++ b/lifthinge/wire/client.py
@@ -1,4 +1,5 @@
 """Calls over HTTP/1.1: one at a time on a connection that is kept while it is fresh."""
+
 import asyncio
 from typing import Callable, NamedTuple, Optional, Union
 
@@ -7,7 +8,7 @@
 from lifthinge.wire.connection import Connection, connect
 from lifthinge.wire.http import BODY_MOST, HEAD_MOST, AnswerParser
 
-FRESH = 2_000.0     # ms that a kept connection may have stood idle: peers close them sooner or later
+FRESH = 2_000.0  # ms that a kept connection may have stood idle: peers close them sooner or later
 
 
 class Answer(NamedTuple):
@@ -27,9 +28,13 @@
 
 
 def post(path: str, body: bytes) -> Callable[[tuple[str, int]], bytes]:
-    return lambda where: (f"POST {path} HTTP/1.1\r\nHost: {_host(where)}\r\n"
-                          f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
-                          ).encode() + body
+    return lambda where: (
+        (
+            f"POST {path} HTTP/1.1\r\nHost: {_host(where)}\r\n"
+            f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
+        ).encode()
+        + body
+    )
 
 
 def _host(where: tuple[str, int]) -> str:
@@ -114,7 +119,9 @@
             self.books.counters.add(f"{self.kind}.failed.{result.reach.value}.{result.cause.value}")
         else:
             self.books.counters.add(f"{self.kind}.answered.{result.status}")
-            self.books.counters.most(f"{self.kind}.longest_ms", round(self.used_at - request.asked_at, 1))
+            self.books.counters.most(
+                f"{self.kind}.longest_ms", round(self.used_at - request.asked_at, 1)
+            )
         if not request.future.done():
             request.future.set_result(result)
 
@@ -140,11 +147,13 @@
                 kept = self._kept = found
                 self._kept_where = where
             elif kept is None or kept.lost:
-                self.books.counters.add(f"{self.kind}.failed.{found.reach.value}.{found.cause.value}")
+                self.books.counters.add(
+                    f"{self.kind}.failed.{found.reach.value}.{found.cause.value}"
+                )
                 return found
         try:
             return await kept.ask(request(self._kept_where), wait)
-        except asyncio.CancelledError:      # called off: the answer, if it comes, is nobody's
+        except asyncio.CancelledError:  # called off: the answer, if it comes, is nobody's
             self.close()
             raise
 
--- a/lifthinge/wire/collectors.py
+++ b/lifthinge/wire/collectors.py
@@ -1,4 +1,5 @@
 """The controller's address: collectors with their reports, whoever asks for a sign of life, and strangers."""
+
 import asyncio
 import socket
 from enum import Enum
@@ -12,24 +13,28 @@
 from lifthinge.wire.door import Door
 from lifthinge.wire.frames import FRAME_MOST, Lost, Skip, pack, read_frame
 
-STRANGER_MOST = 4 << 10     # bytes of a message from one that has not joined
-COLLECTORS_MOST = 8         # of one zone; the oldest gives way
-JOIN_WAIT = 1_500.0         # ms from connecting, within which one must have joined; bytes don't extend it
-IDLE_MOST = 60_000.0        # ms between the messages of one that joined
-PARTING = 300.0             # ms that a last word may take to leave
-SEND_BUFFER = 32 << 10      # bytes that the system holds for one that does not read
-ACCEPTED_MOST, ACCEPTED_PART = 32, 16   # taken in a loop turn at most, and of the connections that may be in
-ACCEPT_QUEUE = 1024         # that the system holds meanwhile
+STRANGER_MOST = 4 << 10  # bytes of a message from one that has not joined
+COLLECTORS_MOST = 8  # of one zone; the oldest gives way
+JOIN_WAIT = 1_500.0  # ms from connecting, within which one must have joined; bytes don't extend it
+IDLE_MOST = 60_000.0  # ms between the messages of one that joined
+PARTING = 300.0  # ms that a last word may take to leave
+SEND_BUFFER = 32 << 10  # bytes that the system holds for one that does not read
+ACCEPTED_MOST, ACCEPTED_PART = (
+    32,
+    16,
+)  # taken in a loop turn at most, and of the connections that may be in
+ACCEPT_QUEUE = 1024  # that the system holds meanwhile
 
 
 class State(Enum):
-    STRANGER = 1    # has not joined; it may join, or ask for a sign of life
-    JOINED = 2      # a collector that named its zone
-    PARTED = 3      # nothing that it says is heard any more
+    STRANGER = 1  # has not joined; it may join, or ask for a sign of life
+    JOINED = 2  # a collector that named its zone
+    PARTED = 3  # nothing that it says is heard any more
 
 
 class Reporter(Connection):
     """One connection that came in."""
+
     kind = "inbound"
 
     def __init__(self, reception: "Reception") -> None:
@@ -37,12 +42,14 @@
         self.reception = reception
         self.state, self.zone = State.STRANGER, -1
         self.owes_beat = False
-        self._overdue = False       # it stays only for the sign of life that is owed
+        self._overdue = False  # it stays only for the sign of life that is owed
         self._deadline: Optional[Deadline] = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
+        transport.get_extra_info("socket").setsockopt(
+            socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER
+        )
         if not self.lost:
             self._deadline = self.books.deadlines.set(JOIN_WAIT, self._not_joined)
             self.reception.came(self)
@@ -144,10 +151,16 @@
 class Reception:
     """Who has come in; the oldest that has not joined gives way to newcomers, collectors last of all."""
 
-    def __init__(self, books: Books, door: Door, most: int, ready: Callable[[], bool],
-                 tell: Callable[[list[Event]], None]) -> None:
+    def __init__(
+        self,
+        books: Books,
+        door: Door,
+        most: int,
+        ready: Callable[[], bool],
+        tell: Callable[[list[Event]], None],
+    ) -> None:
         self.books, self.door, self.most, self.ready, self.tell = books, door, most, ready, tell
-        self._strangers: dict[Reporter, None] = {}      # oldest first
+        self._strangers: dict[Reporter, None] = {}  # oldest first
         self._joined: dict[Reporter, None] = {}
         self._server: Optional[asyncio.Server] = None
 
@@ -158,8 +171,9 @@
         listener.setblocking(False)
         at_once = max(min(self.most // ACCEPTED_PART, ACCEPTED_MOST), 1)
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: Reporter(self), sock=listener, backlog=at_once)
-        listener.listen(ACCEPT_QUEUE)   # the loop has set the one figure for both
+            lambda: Reporter(self), sock=listener, backlog=at_once
+        )
+        listener.listen(ACCEPT_QUEUE)  # the loop has set the one figure for both
 
     @property
     def where(self) -> tuple[str, int]:
@@ -174,7 +188,8 @@
     def came(self, one: Reporter) -> None:
         if len(self._strangers) + len(self._joined) >= self.most:
             oldest = next((other for other in self._strangers if not other.owes_beat), None) or min(
-                self._strangers or self._joined, key=lambda other: other.heard_at)
+                self._strangers or self._joined, key=lambda other: other.heard_at
+            )
             self.books.counters.add("inbound.crowded_out")
             self.left(oldest)
             oldest.part()
--- a/lifthinge/wire/connection.py
+++ b/lifthinge/wire/connection.py
@@ -1,4 +1,5 @@
 """What all connections have in common: one buffer, a slot in the table, and an end to every exception."""
+
 import asyncio
 import logging
 from typing import Callable, Optional, TypeVar, Union
@@ -8,12 +9,13 @@
 from lifthinge.wire.buffer import Buffer
 
 log = logging.getLogger(__name__)
-CONNECT_WAIT = 400.0    # ms until a connection must be up
-UNREAD_MOST = 128 << 10     # bytes that a peer may leave unread
+CONNECT_WAIT = 400.0  # ms until a connection must be up
+UNREAD_MOST = 128 << 10  # bytes that a peer may leave unread
 
 
 class Connection(asyncio.BufferedProtocol):
     """Subclasses say what is done with what has come, at the peer's end, and when all is lost."""
+
     kind = "connection"
     unread_most = UNREAD_MOST
 
@@ -21,7 +23,7 @@
         self.books, self.buffer = books, Buffer(limit, first)
         self.transport: Optional[asyncio.Transport] = None
         self.handle: Optional[int] = None
-        self.unsent = False     # bytes of ours have not left
+        self.unsent = False  # bytes of ours have not left
         self.lost = False
         self.heard_at = books.now
 
@@ -106,7 +108,7 @@
     try:
         _, connection = await task
     except asyncio.CancelledError:
-        if deadline.pending:    # it was not the deadline: this call itself is called off
+        if deadline.pending:  # it was not the deadline: this call itself is called off
             task.cancel()
             raise
         return Failure(Reach.NOT_SENT, Cause.UNREACHABLE, "no connection in time")
--- a/lifthinge/wire/discovery.py
+++ b/lifthinge/wire/discovery.py
@@ -1,4 +1,5 @@
 """Discovery: the whole list, then watches without a gap; only differences are told."""
+
 import logging
 from dataclasses import replace
 from typing import Callable, Optional
@@ -13,9 +14,11 @@
 from lifthinge.wire.frames import Skip, read_object
 
 log = logging.getLogger(__name__)
-WATCH_WAIT = 4_000      # ms that a watch asks discovery to wait: a silent one is found out soon after
-WATCH_AGAIN = 1_000     # the same after an answer that was spoilt in part: then the whole list is asked for
-ANSWER_WAIT = 700.0     # beyond that
+WATCH_WAIT = 4_000  # ms that a watch asks discovery to wait: a silent one is found out soon after
+WATCH_AGAIN = (
+    1_000  # the same after an answer that was spoilt in part: then the whole list is asked for
+)
+ANSWER_WAIT = 700.0  # beyond that
 RETRY_LEAST, RETRY_MOST = 30.0, 150.0
 OLDER = "older than the list held"
 
@@ -26,14 +29,20 @@
     After a move the former watch goes on beside the new address's, until that has told its list.
     """
 
-    def __init__(self, books: Books, door: Door, world: World, where: tuple[str, int],
-                 tell: Callable[[FleetNews], None]) -> None:
+    def __init__(
+        self,
+        books: Books,
+        door: Door,
+        world: World,
+        where: tuple[str, int],
+        tell: Callable[[FleetNews], None],
+    ) -> None:
         self.books, self.door, self.world, self.where, self.tell = books, door, world, where, tell
-        self.answered = False           # ever
-        self._watches: list[Caller] = []    # each of a line of watches, the newest last
+        self.answered = False  # ever
+        self._watches: list[Caller] = []  # each of a line of watches, the newest last
         self._list = Caller(books, "discovery_list", where)
-        self._spoilt = False            # the last answer had entries that could not be used
-        self._older = range(0)          # versions below the one held that are believed of a list
+        self._spoilt = False  # the last answer had entries that could not be used
+        self._older = range(0)  # versions below the one held that are believed of a list
 
     def close(self) -> None:
         self._end_before(None)
@@ -54,20 +63,28 @@
                 failure = await self._call(watch, since, wait)
                 if failure is None:
                     self._end_before(watch)
-                    if since and version == self.world.version and self.books.now - began < RETRY_MOST:
-                        await self.books.pause(RETRY_LEAST)     # it did not wait: no reason to spin
-                    failures, since = 0, wait != WATCH_AGAIN    # then a short watch is over, and all is asked
+                    if (
+                        since
+                        and version == self.world.version
+                        and self.books.now - began < RETRY_MOST
+                    ):
+                        await self.books.pause(RETRY_LEAST)  # it did not wait: no reason to spin
+                    failures, since = (
+                        0,
+                        wait != WATCH_AGAIN,
+                    )  # then a short watch is over, and all is asked
                     wait = WATCH_AGAIN if self._spoilt and since else WATCH_WAIT
                     continue
                 failures, since = failures + 1, since and failure.detail != OLDER
-                if watch not in self._watches[-1:]:     # there is a newer address
+                if watch not in self._watches[-1:]:  # there is a newer address
                     return
                 if self.door.site.news_on_request:
                     self.tell(FleetNews(Form.MISSED, []))
                     return
                 if failures > 1:
                     await self.books.pause(
-                        RETRY_LEAST + self.books.dice.random() * (RETRY_MOST - RETRY_LEAST))
+                        RETRY_LEAST + self.books.dice.random() * (RETRY_MOST - RETRY_LEAST)
+                    )
         finally:
             watch.close()
             self._watches = [one for one in self._watches if one is not watch]
@@ -83,17 +100,27 @@
             self.tell(FleetNews(Form.MISSED, []))
 
     async def _call(self, caller: Caller, since: bool, wait: int = WATCH_WAIT) -> Optional[Failure]:
-        path = names.LIST_PATH + (f"?{names.SINCE}={self.world.version}&{names.WAIT}={wait}" if since else "")
+        path = names.LIST_PATH + (
+            f"?{names.SINCE}={self.world.version}&{names.WAIT}={wait}" if since else ""
+        )
         result = await caller.call(get(path), ANSWER_WAIT + (wait if since else 0))
         if not isinstance(result, Failure):
-            message = read_object(result.body) if result.status == 200 else Skip(f"status {result.status}")
+            message = (
+                read_object(result.body)
+                if result.status == 200
+                else Skip(f"status {result.status}")
+            )
             trouble = message if isinstance(message, Skip) else self._take(message, not since)
             if trouble is None:
                 return None
             result = Failure(Reach.ANSWERED, Cause.UNREADABLE, trouble.why)
-        if caller is self._list or caller in self._watches:     # and not one that was ended
-            self.books.notices.note("discovery_failed", cause=result.cause.value, reach=result.reach.value,
-                                    detail=result.detail)
+        if caller is self._list or caller in self._watches:  # and not one that was ended
+            self.books.notices.note(
+                "discovery_failed",
+                cause=result.cause.value,
+                reach=result.reach.value,
+                detail=result.detail,
+            )
         return result
 
     def known(self, message: dict) -> Optional[Skip]:
@@ -122,11 +149,18 @@
             return Skip(OLDER)
         self._older = range(0)
         listings, named = self._read(entries)
-        changed = [one for one in listings if self.world.listed.get(one.backend) != one
-                   and (one.phase is not Phase.GONE or one.backend in self.world.listed)]
+        changed = [
+            one
+            for one in listings
+            if self.world.listed.get(one.backend) != one
+            and (one.phase is not Phase.GONE or one.backend in self.world.listed)
+        ]
         if whole:
-            changed += [Listing(one.backend, one.zone, one.cell, Phase.GONE, one.started, one.size)
-                        for one in self.world.listed.values() if one.backend.ep not in named]
+            changed += [
+                Listing(one.backend, one.zone, one.cell, Phase.GONE, one.started, one.size)
+                for one in self.world.listed.values()
+                if one.backend.ep not in named
+            ]
         self.world.version, self.answered = version, True
         self._keep(changed)
         if changed or first:
@@ -139,8 +173,14 @@
         Of one that is spoilt it still counts that the backend leaves, if that can be read.
         """
         self._spoilt = False
-        listings, named = [], {entry.get(names.ID) for entry in entries
-                               if isinstance(entry, dict) and isinstance(entry.get(names.ID), str)}
+        listings, named = (
+            [],
+            {
+                entry.get(names.ID)
+                for entry in entries
+                if isinstance(entry, dict) and isinstance(entry.get(names.ID), str)
+            },
+        )
         for entry in entries:
             listing = self.door.listing(entry)
             if isinstance(listing, Skip):
--- a/lifthinge/wire/door.py
+++ b/lifthinge/wire/door.py
@@ -1,19 +1,41 @@
 """The door: ids, names and units of the sockets to the decisions' types, and back."""
+
 import ipaddress
 from typing import Any, Callable, Union
 
 from lifthinge.interface import (
-    Backend, BindProxy, ClearTable, Event, Leased, Listing, Phase, Proxy, ProxyJoined, ProxyLeft, ProxyLoad,
-    Seal, SealConfirmed, SetLevel, SetLine, ShutOut, Slice, SliceHeat, StoredLine, TriesReport)
+    Backend,
+    BindProxy,
+    ClearTable,
+    Event,
+    Leased,
+    Listing,
+    Phase,
+    Proxy,
+    ProxyJoined,
+    ProxyLeft,
+    ProxyLoad,
+    Seal,
+    SealConfirmed,
+    SetLevel,
+    SetLine,
+    ShutOut,
+    Slice,
+    SliceHeat,
+    StoredLine,
+    TriesReport,
+)
 from lifthinge.memory.world import World
 from lifthinge.terms import SiteMap
 from lifthinge.wire import names
 from lifthinge.wire.frames import Skip
 
-COUNT_MOST = float(1 << 32)     # a version, or a number of the relay's: told by who does not spoil them
+COUNT_MOST = float(
+    1 << 32
+)  # a version, or a number of the relay's: told by who does not spoil them
 NUMBER_MOST = 1e15
 SEAL_MOST = 65_535
-WEIGHT_LEAST = 0.0005   # the most that a weight told as 0 can be
+WEIGHT_LEAST = 0.0005  # the most that a weight told as 0 can be
 _REQUIRED = object()
 
 
@@ -53,7 +75,7 @@
             return default
         if found is None or isinstance(found, bool) or not isinstance(found, (int, float)):
             raise _Unfit(f"{name} is no number" if name in self._message else f"{name} is missing")
-        if not 0 <= found <= most:      # nor is what is not a number, or not finite
+        if not 0 <= found <= most:  # nor is what is not a number, or not finite
             raise _Unfit(f"{name} is out of range")
         return float(found)
 
@@ -66,7 +88,9 @@
     def flag(self, name: str) -> bool:
         found = self._message.get(name)
         if not isinstance(found, bool) and found not in (0, 1):
-            raise _Unfit(f"{name} is no truth value" if name in self._message else f"{name} is missing")
+            raise _Unfit(
+                f"{name} is no truth value" if name in self._message else f"{name} is missing"
+            )
         return bool(found)
 
     def text(self, name: str) -> str:
@@ -104,19 +128,41 @@
     def __init__(self, site: SiteMap, world: World) -> None:
         self.site, self.world = site, world
         self._reports: dict[str, Callable[[Fields], Event]] = {
-            names.TRIES: self._tries, names.SLICE_HEAT: self._heat, names.PROXY_LOAD: self._proxy_load}
+            names.TRIES: self._tries,
+            names.SLICE_HEAT: self._heat,
+            names.PROXY_LOAD: self._proxy_load,
+        }
         self._news: dict[str, Callable[[Fields], Event]] = {
-            names.JOINED: self._joined, names.LEFT: self._left, names.CONFIRMED: self._confirmed,
-            names.LEASED: self._leased, names.LINE: self._line}
+            names.JOINED: self._joined,
+            names.LEFT: self._left,
+            names.CONFIRMED: self._confirmed,
+            names.LEASED: self._leased,
+            names.LINE: self._line,
+        }
         self._orders: dict[type, Callable[[Any], dict[str, Any]]] = {
-            SetLine: lambda o: {names.DO: names.SET, names.TABLE: o.slice.number, names.BACKEND: o.backend.ep,
-                                names.SIZE: o.weight},
+            SetLine: lambda o: {
+                names.DO: names.SET,
+                names.TABLE: o.slice.number,
+                names.BACKEND: o.backend.ep,
+                names.SIZE: o.weight,
+            },
             ClearTable: lambda o: {names.DO: names.CLEAR, names.TABLE: o.slice.number},
-            BindProxy: lambda o: {names.DO: names.BIND, names.TABLE: o.slice.number,
-                                  names.PROXY: o.proxy.number},
-            ShutOut: lambda o: {names.DO: names.OUT if o.out else names.IN, names.BACKEND: o.backend.ep},
+            BindProxy: lambda o: {
+                names.DO: names.BIND,
+                names.TABLE: o.slice.number,
+                names.PROXY: o.proxy.number,
+            },
+            ShutOut: lambda o: {
+                names.DO: names.OUT if o.out else names.IN,
+                names.BACKEND: o.backend.ep,
+            },
             SetLevel: self._level,
-            Seal: lambda o: {names.DO: names.SEAL, names.SEAL_SET: o.number, names.EVERYONE: int(o.everyone)}}
+            Seal: lambda o: {
+                names.DO: names.SEAL,
+                names.SEAL_SET: o.number,
+                names.EVERYONE: int(o.everyone),
+            },
+        }
 
     def zone(self, message: dict[str, Any]) -> Union[int, Skip]:
         return self._guard(lambda: Fields(message).place(names.ZONE, self.site.zones))
@@ -139,20 +185,27 @@
 
     def leaving(self, entry: Any) -> Union[tuple[Backend, Phase], Skip]:
         """Of an entry that can't be used as a whole: the backend, if that is to go."""
+
         def read() -> tuple[Backend, Phase]:
-            found, phase = self._backend_of(Fields(entry), names.ID), names.PHASES.get(Fields(entry).text(names.PHASE))
+            found, phase = (
+                self._backend_of(Fields(entry), names.ID),
+                names.PHASES.get(Fields(entry).text(names.PHASE)),
+            )
             if phase not in (Phase.DRAINING, Phase.GONE):
                 raise _Unfit("it does not leave")
             return found, phase
+
         return self._guard(read)
 
     def version(self, answer: dict[str, Any]) -> Union[tuple[int, bool, list], Skip]:
         """The version of a list, whether it is whole, and its entries."""
+
         def read() -> tuple[int, bool, list]:
             entries = answer.get(names.LISTED)
             if not isinstance(entries, list):
                 raise _Unfit(f"{names.LISTED} is no list")
             return Fields(answer).whole(names.VERSION), Fields(answer).flag(names.WHOLE), entries
+
         return self._guard(read)
 
     def order(self, order: Any) -> dict[str, Any]:
@@ -162,8 +215,9 @@
     def is_order(self, order: Any) -> bool:
         return type(order) in self._orders
 
-    def _read(self, readers: dict[str, Callable[[Fields], Event]], kind: Any,
-              fields: Any) -> Union[Event, Skip]:
+    def _read(
+        self, readers: dict[str, Callable[[Fields], Event]], kind: Any, fields: Any
+    ) -> Union[Event, Skip]:
         reader = readers.get(kind) if isinstance(kind, str) else None
         return self._guard(lambda: reader(Fields(fields))) if reader else Skip("unknown kind")
 
@@ -192,8 +246,15 @@
     def _tries(self, f: Fields) -> Event:
         total, failed, span = self._counts(f)
         took = f.number(names.TOOK, _REQUIRED if total > failed else 0.0, self.site.took_most)
-        return TriesReport(f.place(names.ZONE, self.site.zones), self._backend(f), total, failed, took,
-                           span, f.load(self.site.load_fields))
+        return TriesReport(
+            f.place(names.ZONE, self.site.zones),
+            self._backend(f),
+            total,
+            failed,
+            took,
+            span,
+            f.load(self.site.load_fields),
+        )
 
     def _counts(self, f: Fields) -> tuple[int, int, float]:
         """Tries, those that were aborted, and the span: each within what the settings let happen."""
@@ -214,8 +275,15 @@
         return ProxyLoad(proxy, f.place(names.METHOD, self.site.methods), *self._counts(f))
 
     def _joined(self, f: Fields) -> Event:
-        number, zone = f.whole(names.PROXY, self.site.proxies - 1), f.place(names.ZONE, self.site.zones)
-        size, fresh, proxy = f.number(names.SIZE, 0.0), f.flag(names.FRESH), self.world.proxy(number)
+        number, zone = (
+            f.whole(names.PROXY, self.site.proxies - 1),
+            f.place(names.ZONE, self.site.zones),
+        )
+        size, fresh, proxy = (
+            f.number(names.SIZE, 0.0),
+            f.flag(names.FRESH),
+            self.world.proxy(number),
+        )
         proxy.size, proxy.zone = size, zone
         return ProxyJoined(proxy, fresh)
 
@@ -247,7 +315,7 @@
             where = address(f.text(names.ADDRESS))
         except ValueError:
             raise _Unfit("no address in figures") from None
-        if phase is Phase.GONE:     # nothing is kept of one that was never known, or is forgotten
+        if phase is Phase.GONE:  # nothing is kept of one that was never known, or is forgotten
             backend = known or Backend(name, name)
         else:
             backend = self.world.backend(name)
@@ -258,5 +326,10 @@
 
     def _level(self, order: SetLevel) -> dict[str, Any]:
         methods = [self.site.methods[place] for place in order.methods]
-        return {names.DO: names.LEVEL, names.TABLE: names.ALL if order.slice is None else order.slice.number,
-                names.METHODS: methods, names.LET_IN: order.level, names.RETRY: int(order.retry)}
+        return {
+            names.DO: names.LEVEL,
+            names.TABLE: names.ALL if order.slice is None else order.slice.number,
+            names.METHODS: methods,
+            names.LET_IN: order.level,
+            names.RETRY: int(order.retry),
+        }
--- a/lifthinge/wire/frames.py
+++ b/lifthinge/wire/frames.py
@@ -13,6 +13,7 @@
 >>> feed(b"\\0\\0\\0\\0"), feed(b"\\0\\x10\\0\\1"), feed(b"\\0\\0\\0\\2[]"), feed(b"\\0\\0\\0\\3{a}")
 (Lost(why='length 0'), Lost(why='length 1048577'), Skip(why='not an object'), Lost(why='not JSON'))
 """
+
 import json
 from typing import Any, NamedTuple, Union
 
@@ -23,11 +24,13 @@
 
 class Lost(NamedTuple):
     """The framing is lost, or what it frames is no JSON: nothing more can be read."""
+
     why: str
 
 
 class Skip(NamedTuple):
     """This message can't be used; the next one may."""
+
     why: str
 
 
--- a/lifthinge/wire/http.py
+++ b/lifthinge/wire/http.py
@@ -51,6 +51,7 @@
 body too long
 bytes after the answer
 """
+
 import re
 from enum import Enum
 from typing import Optional
@@ -81,9 +82,9 @@
     def __init__(self, buffer: Buffer) -> None:
         self.buffer = buffer
         self.state, self.status, self.keep = State.HEAD, 0, True
-        self.body = 0           # decoded bytes at the front of the buffer
-        self._left = 0          # bytes of the body, or of the chunk, still to come
-        self._head = 0          # bytes of head lines so far
+        self.body = 0  # decoded bytes at the front of the buffer
+        self._left = 0  # bytes of the body, or of the chunk, still to come
+        self._head = 0  # bytes of head lines so far
         self._lengths: set[bytes] = set()
         self._coding = b""
 
@@ -128,7 +129,9 @@
             first = self.buffer.peek(self.body, self.body + 5)
             if self.state is State.HEAD and not self.status and not b"HTTP/".startswith(first):
                 return "bad status line"
-            return "head too long" if len(self.buffer) - self.body + self._head > HEAD_MOST else None
+            return (
+                "head too long" if len(self.buffer) - self.body + self._head > HEAD_MOST else None
+            )
         self._head += len(line) + 1
         if self._head > HEAD_MOST:
             return "head too long"
@@ -174,7 +177,7 @@
         return None
 
     def _end_head(self) -> Optional[str]:
-        if self.status < 200:       # an interim answer: the real one follows
+        if self.status < 200:  # an interim answer: the real one follows
             self.status = self._head = 0
             self._lengths, self._coding = set(), b""
             return None
--- a/lifthinge/wire/names.py
+++ b/lifthinge/wire/names.py
@@ -1,4 +1,5 @@
 """The names that the sockets use, in one table; they are used nowhere else."""
+
 from lifthinge.interface import Phase
 
 # Messages at the controller's address, and news from the relay
@@ -17,7 +18,14 @@
 ORDERS, ACCEPTED = "orders", "accepted"
 DO, SET, CLEAR, BIND, OUT, IN, LEVEL, SEAL = "do", "SET", "DEL", "USE", "OUT", "IN", "LIMIT", "SYNC"
 TABLE, ALL, METHODS, LET_IN, RETRY, SEAL_SET, EVERYONE = (
-    "group", "*", "routes", "admit", "policy", "nonce_out", "on")
+    "group",
+    "*",
+    "routes",
+    "admit",
+    "policy",
+    "nonce_out",
+    "on",
+)
 ERROR, THROTTLED, INVALID = "error", "throttled", "invalid"
 
 # Discovery and probes
@@ -28,5 +36,11 @@
 PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE}
 
 # A load value's name in the settings, and on the sockets
-LOAD_NAMES = {"utilization": "util", "throughput": "qps", "outstanding": "inflight", "backlog": "queue",
-              "recent_ms": "latency_ms", "errors_per_s": "eps"}
+LOAD_NAMES = {
+    "utilization": "util",
+    "throughput": "qps",
+    "outstanding": "inflight",
+    "backlog": "queue",
+    "recent_ms": "latency_ms",
+    "errors_per_s": "eps",
+}
--- a/lifthinge/wire/news.py
+++ b/lifthinge/wire/news.py
@@ -3,6 +3,7 @@
 What stands comes first on each stream; the first sign of life, or an answer to a seal, is known to follow.
 A stream that has fallen silent is kept until another has told what stands: it may only have been slow.
 """
+
 import asyncio
 from typing import Callable, Optional
 
@@ -19,8 +20,8 @@
 from lifthinge.wire.door import Door
 from lifthinge.wire.frames import Skip, read_object
 
-SILENCE = 2_200.0       # ms without a line; a sign of life comes every second
-LINES_FOLLOW = 30.0     # ms within which a slice's lines follow the word that it is given
+SILENCE = 2_200.0  # ms without a line; a sign of life comes every second
+LINES_FOLLOW = 30.0  # ms within which a slice's lines follow the word that it is given
 RETRY_LEAST, RETRY_MOST = 50.0, 250.0
 NEVER = float("inf")
 
@@ -28,11 +29,13 @@
 class NewsConnection(HttpConnection):
     """Hands on line by line for as long as they come; `trouble` says why another stream is needed."""
 
-    def __init__(self, books: Books, stand: Stand, line: Callable[["NewsConnection", bytes], None]) -> None:
+    def __init__(
+        self, books: Books, stand: Stand, line: Callable[["NewsConnection", bytes], None]
+    ) -> None:
         super().__init__(books, "relay_news")
         self._line = line
         self._silence: Optional[Deadline] = None
-        self.stand: Optional[Stand] = stand         # until what stands has been told
+        self.stand: Optional[Stand] = stand  # until what stands has been told
         self.trouble: asyncio.Future[Failure] = asyncio.get_running_loop().create_future()
 
     def open(self, data: bytes) -> None:
@@ -71,14 +74,21 @@
 class News:
     """`tell` takes the events that are news."""
 
-    def __init__(self, books: Books, door: Door, world: World, calls: Calls, where: tuple[str, int],
-                 tell: Callable[[list[Event]], None]) -> None:
+    def __init__(
+        self,
+        books: Books,
+        door: Door,
+        world: World,
+        calls: Calls,
+        where: tuple[str, int],
+        tell: Callable[[list[Event]], None],
+    ) -> None:
         self.books, self.door, self.world, self.calls, self.where = books, door, world, calls, where
         self.tell = tell
-        self.stood = False                          # ever heard what stands
-        self._live: Optional[NewsConnection] = None     # the one that is listened to
-        self._latest: Optional[NewsConnection] = None   # the last one opened, until it gives way
-        self._given: dict[object, list[Event]] = {}     # slices just given, with their lines so far
+        self.stood = False  # ever heard what stands
+        self._live: Optional[NewsConnection] = None  # the one that is listened to
+        self._latest: Optional[NewsConnection] = None  # the last one opened, until it gives way
+        self._given: dict[object, list[Event]] = {}  # slices just given, with their lines so far
         self._given_over: Optional[Deadline] = None
 
     async def run(self) -> None:
@@ -86,12 +96,18 @@
         while True:
             opened = self.books.now
             failure = await self._once()
-            self.books.notices.note("news_ended", reach=failure.reach.value, cause=failure.cause.value,
-                                    detail=failure.detail)
+            self.books.notices.note(
+                "news_ended",
+                reach=failure.reach.value,
+                cause=failure.cause.value,
+                detail=failure.detail,
+            )
             quick = self.books.now - opened < SILENCE and failure.cause is not Cause.MOVED
             failures = failures + 1 if quick else 0
             if failures > 1:
-                await self.books.pause(RETRY_LEAST + self.books.dice.random() * (RETRY_MOST - RETRY_LEAST))
+                await self.books.pause(
+                    RETRY_LEAST + self.books.dice.random() * (RETRY_MOST - RETRY_LEAST)
+                )
 
     def renew(self, where: Optional[tuple[str, int]] = None, why: Cause = Cause.RENEWED) -> None:
         """Has what stands told again, maybe elsewhere; the stream so far is heard until that is done."""
@@ -109,7 +125,8 @@
     async def _once(self) -> Failure:
         where = self.where
         connection = await connect(
-            self.books, lambda: NewsConnection(self.books, Stand(self.calls), self._take), where)
+            self.books, lambda: NewsConnection(self.books, Stand(self.calls), self._take), where
+        )
         if isinstance(connection, Failure):
             return connection
         self._latest = connection
@@ -125,8 +142,15 @@
 
     def _take(self, connection: NewsConnection, line: bytes) -> None:
         message = read_object(line)
-        event = None if message == {} else (
-            message if isinstance(message, Skip) else self.door.news(message, connection.stand is not None))
+        event = (
+            None
+            if message == {}
+            else (
+                message
+                if isinstance(message, Skip)
+                else self.door.news(message, connection.stand is not None)
+            )
+        )
         if connection.stand is not None and (event is None or isinstance(event, SealConfirmed)):
             self._end_stand(connection)
         if isinstance(event, Skip):
@@ -154,7 +178,9 @@
     def _pass(self, event: Event) -> None:
         """Hands an event on; a slice just given waits for its lines, or it would pass for a bare one."""
         if isinstance(event, Leased) and event.given:
-            if event.slice in self.world.held:      # nothing may be ordered for it on its old lines meanwhile
+            if (
+                event.slice in self.world.held
+            ):  # nothing may be ordered for it on its old lines meanwhile
                 self.tell([Leased(event.slice, False)])
             self._given[event.slice] = [event]
         elif isinstance(event, StoredLine) and event.slice in self._given:
--- a/lifthinge/wire/peers.py
+++ b/lifthinge/wire/peers.py
@@ -1,4 +1,5 @@
 """Datagrams between controllers of one tier."""
+
 import asyncio
 from typing import Callable, Optional
 
@@ -11,9 +12,21 @@
 class Peers(asyncio.DatagramProtocol):
     """Knows its peers by the address that each sends from."""
 
-    def __init__(self, books: Books, peers: list[tuple[str, int]], everyone: Optional[tuple[str, int]],
-                 own: int, tell: Callable[[PeerNote], None]) -> None:
-        self.books, self.peers, self.everyone, self.own, self.tell = books, peers, everyone, own, tell
+    def __init__(
+        self,
+        books: Books,
+        peers: list[tuple[str, int]],
+        everyone: Optional[tuple[str, int]],
+        own: int,
+        tell: Callable[[PeerNote], None],
+    ) -> None:
+        self.books, self.peers, self.everyone, self.own, self.tell = (
+            books,
+            peers,
+            everyone,
+            own,
+            tell,
+        )
         self._numbers = {where: number for number, where in enumerate(peers)}
         self._transport: Optional[asyncio.DatagramTransport] = None
 
@@ -26,11 +39,17 @@
 
     def send(self, peer: Optional[int], content: bytes) -> None:
         """To one peer, or to all others; what is too long is not sent."""
-        if self._transport is None or len(content) > DATAGRAM_MOST or (peer or 0) >= len(self.peers):
+        if (
+            self._transport is None
+            or len(content) > DATAGRAM_MOST
+            or (peer or 0) >= len(self.peers)
+        ):
             self.books.notices.note("note_not_sent", bytes=len(content), peer=peer)
             return
         others = [where for number, where in enumerate(self.peers) if number != self.own]
-        where = [self.peers[peer]] if peer is not None else [self.everyone] if self.everyone else others
+        where = (
+            [self.peers[peer]] if peer is not None else [self.everyone] if self.everyone else others
+        )
         for one in where:
             self._transport.sendto(content, one)
             self.books.counters.add("peers.sent")
--- a/lifthinge/wire/probes.py
+++ b/lifthinge/wire/probes.py
@@ -1,4 +1,5 @@
 """Probes: a backend is asked for its health, or for its load where that is how loads are told."""
+
 import asyncio
 import re
 from typing import Callable, Union
@@ -12,14 +13,16 @@
 from lifthinge.wire.door import Door, read_load
 
 PROBE_WAIT = 400.0
-PROBES_MOST = 32        # at once
+PROBES_MOST = 32  # at once
 _PAIR = re.compile(rb"([A-Za-z_]+) *= *([0-9.eE+-]+)")
 
 
 class Probes:
     """Each probe has a connection of its own, so none waits for another."""
 
-    def __init__(self, books: Books, door: Door, world: World, tell: Callable[[ProbeResult], None]) -> None:
+    def __init__(
+        self, books: Books, door: Door, world: World, tell: Callable[[ProbeResult], None]
+    ) -> None:
         self.books, self.door, self.world, self.tell = books, door, world, tell
         self._running: dict[asyncio.Task, Backend] = {}
 
@@ -47,7 +50,11 @@
             result = await caller.call(get(path), PROBE_WAIT)
         finally:
             caller.close()
-        load = read_load(read_text(result.body), fields) if isinstance(result, Answer) and fields else ()
+        load = (
+            read_load(read_text(result.body), fields)
+            if isinstance(result, Answer) and fields
+            else ()
+        )
         self.tell(ProbeResult(backend, outcome(result), self.books.now - began, load))
 
 
@@ -61,8 +68,11 @@
     """
     if isinstance(result, Answer):
         return {200: Outcome.OK, 503: Outcome.PUSHED_BACK}.get(result.status, Outcome.ABORTED)
-    return {Cause.LATE: Outcome.LATE, Cause.BROKEN: Outcome.BROKEN, Cause.UNREADABLE: Outcome.ABORTED}.get(
-        result.cause, Outcome.UNREACHABLE)
+    return {
+        Cause.LATE: Outcome.LATE,
+        Cause.BROKEN: Outcome.BROKEN,
+        Cause.UNREADABLE: Outcome.ABORTED,
+    }.get(result.cause, Outcome.UNREACHABLE)
 
 
 def read_text(body: bytes) -> dict[str, float]:
--- a/lifthinge/wire/relay.py
+++ b/lifthinge/wire/relay.py
@@ -4,6 +4,7 @@
 all: it goes again once the decisions say that the channel bears it, unless a proxy's answer to its seal shows
 that it ran.
 """
+
 import asyncio
 import json
 from typing import Callable, Iterable, Optional
@@ -17,11 +18,11 @@
 from lifthinge.wire.door import Door
 from lifthinge.wire.frames import read_object
 
-CALL_MOST = 60_000      # bytes of orders in a call
-ANSWER_WAIT = 200.0     # ms: an answer comes within 50 or never
+CALL_MOST = 60_000  # bytes of orders in a call
+ANSWER_WAIT = 200.0  # ms: an answer comes within 50 or never
 THROTTLE_WAIT = 50.0
 RETRY_LEAST, RETRY_MOST = 50.0, 250.0
-ERRORS_MOST = 5         # answers in a row that are errors, before a call is given up
+ERRORS_MOST = 5  # answers in a row that are errors, before a call is given up
 
 
 class Relay:
@@ -30,20 +31,31 @@
     `refused` takes an order that the relay can't use, `given_up` those of a whole call.
     """
 
-    def __init__(self, books: Books, door: Door, calls: Calls, where: tuple[str, int],
-                 changed: Callable[[], None], refused: Callable[[Order], None],
-                 given_up: Callable[[list[Order]], None]) -> None:
+    def __init__(
+        self,
+        books: Books,
+        door: Door,
+        calls: Calls,
+        where: tuple[str, int],
+        changed: Callable[[], None],
+        refused: Callable[[Order], None],
+        given_up: Callable[[list[Order]], None],
+    ) -> None:
         self.books, self.door, self.calls = books, door, calls
         self.changed, self.refused, self.given_up = changed, refused, given_up
-        self.unknown = 0        # the seal of a call whose fate is unknown, until it goes out again
-        self.broken = False     # whether it broke off; else the relay was silent or could not be read
+        self.unknown = 0  # the seal of a call whose fate is unknown, until it goes out again
+        self.broken = False  # whether it broke off; else the relay was silent or could not be read
         self._caller = Caller(books, "relay_call", where)
         self._given, self._known = asyncio.Event(), asyncio.Event()
-        self._failures = self._errors = 0   # in a row
+        self._failures = self._errors = 0  # in a row
 
     def give(self, orders: Iterable[Order]) -> None:
-        self.calls.add([(order, json.dumps(self.door.order(order), separators=(",", ":")).encode())
-                        for order in orders])
+        self.calls.add(
+            [
+                (order, json.dumps(self.door.order(order), separators=(",", ":")).encode())
+                for order in orders
+            ]
+        )
         self._given.set()
 
     def move(self, where: tuple[str, int]) -> None:
@@ -83,8 +95,12 @@
     async def _settle(self, call: list[Pending], result: Result) -> None:
         """Takes in what became of a call; returns when the next may go out."""
         if isinstance(result, Failure):
-            self.books.notices.note("relay_call_failed", reach=result.reach.value, cause=result.cause.value,
-                                    detail=result.detail)
+            self.books.notices.note(
+                "relay_call_failed",
+                reach=result.reach.value,
+                cause=result.cause.value,
+                detail=result.detail,
+            )
             await self._again(result.may_have_run, result.cause is Cause.BROKEN)
             return
         answer = read_object(result.body)
@@ -92,7 +108,7 @@
         if result.status == 200 and type(accepted) is int and 0 <= accepted <= len(call):
             self._failures = self._errors = 0
             self.books.counters.add("orders_accepted", accepted)
-            self.calls.settle(call[:accepted + 1])
+            self.calls.settle(call[: accepted + 1])
             if accepted < len(call):
                 self.books.notices.note("order_refused", order=call[accepted].body.decode())
                 self.refused(call[accepted].order)
@@ -104,8 +120,9 @@
     async def _take_error(self, call: list[Pending], result: Answer, answer: object) -> None:
         """An error that is no waiting, or what can't be read: then it is unknown whether the call ran."""
         self._errors += 1
-        self.books.notices.note("relay_call_error", status=result.status,
-                                body=result.body[:200].decode("latin-1"))
+        self.books.notices.note(
+            "relay_call_error", status=result.status, body=result.body[:200].decode("latin-1")
+        )
         invalid = isinstance(answer, dict) and answer.get(names.ERROR) == names.INVALID
         if invalid or self._errors >= ERRORS_MOST:
             self.books.notices.note("relay_call_given_up", orders=len(call))
@@ -118,7 +135,9 @@
     async def _again(self, may_have_run: bool, broken: bool = False) -> None:
         self._failures += 1
         if self._failures > 1:
-            await self.books.pause(RETRY_LEAST + self.books.dice.random() * (RETRY_MOST - RETRY_LEAST))
+            await self.books.pause(
+                RETRY_LEAST + self.books.dice.random() * (RETRY_MOST - RETRY_LEAST)
+            )
         if may_have_run and (seal := self.calls.seal()):
             self.unknown, self.broken = seal, broken
             self._known.clear()
--- a/lifthinge/wirehost/__main__.py
+++ b/lifthinge/wirehost/__main__.py
@@ -1,4 +1,5 @@
 """The loop: reads batches from standard input, lets the instances decide, writes one reply to each."""
+
 import sys
 import traceback
 from typing import BinaryIO
@@ -33,8 +34,13 @@
                 waiting.pop(fields[0], None)
             elif fields[0] in self.instances:
                 waiting.setdefault(fields[0], []).append(self._event(name, *fields))
-        return pack_reply([record for instance, events in waiting.items()
-                           for record in self._decide(instance, clock * MS, events)])
+        return pack_reply(
+            [
+                record
+                for instance, events in waiting.items()
+                for record in self._decide(instance, clock * MS, events)
+            ]
+        )
 
     def _event(self, name: str, instance: int, *fields: object) -> Event:
         door = self.instances[instance][0]
@@ -46,7 +52,11 @@
     def _decide(self, instance: int, now: float, events: list[Event]) -> list[bytes]:
         door, choice = self.instances[instance]
         try:
-            return [door.pack(order) for order in choice.decide(now, events) if not isinstance(order, Forget)]
+            return [
+                door.pack(order)
+                for order in choice.decide(now, events)
+                if not isinstance(order, Forget)
+            ]
         except Exception as error:  # whatever it is, the wire wants it reported
             traceback.print_exc(file=sys.stderr)
             where = traceback.extract_tb(error.__traceback__)[-1]
--- a/lifthinge/wirehost/codec.py
+++ b/lifthinge/wirehost/codec.py
@@ -15,6 +15,7 @@
     ...
 lifthinge.wirehost.codec.BadFrame: Timer at byte 8 is cut short
 """
+
 import struct
 from typing import BinaryIO, Iterator, Optional
 
@@ -25,16 +26,36 @@
 
 # Field codes: struct letters; then "S" for u32 n + bytes, "s" for u16 n + bytes, "L" for rows, "F" for u8 n +
 EVENTS = {
-    10: ("Hello", "IQS"), 60: ("Kill", "I"), 150: ("DefineList", "BL"), 20: ("DirectoryUpdate", "IBIB"),
-    30: ("Timer", "IQ"), 40: ("Sampled", "IdB6sF"), 50: ("Memo", "IIs"), 70: ("Joined", "IHBfB"),
-    80: ("Disconnected", "IH"), 90: ("Confirmed", "IHId"), 100: ("Digest", "IB6sIIddF"),
-    110: ("Ingress", "IHIHId"), 120: ("SliceLoad", "IIHHId"), 130: ("Leased", "IHB"),
+    10: ("Hello", "IQS"),
+    60: ("Kill", "I"),
+    150: ("DefineList", "BL"),
+    20: ("DirectoryUpdate", "IBIB"),
+    30: ("Timer", "IQ"),
+    40: ("Sampled", "IdB6sF"),
+    50: ("Memo", "IIs"),
+    70: ("Joined", "IHBfB"),
+    80: ("Disconnected", "IH"),
+    90: ("Confirmed", "IHId"),
+    100: ("Digest", "IB6sIIddF"),
+    110: ("Ingress", "IHIHId"),
+    120: ("SliceLoad", "IIHHId"),
+    130: ("Leased", "IHB"),
     140: ("LedgerLine", "IH6sf"),
 }
 ACTIONS = {
-    "SetTimer": (10, "IdQ"), "HealthCheck": (20, "I6s"), "Post": (30, "IIs"), "Print": (40, "Is"),
-    "Fault": (50, "Is"), "Track": (60, "IB"), "Pull": (70, "I"), "Assign": (80, "IH6sf"), "Empty": (90, "IH"),
-    "Withdraw": (100, "I6sB"), "HandTable": (110, "IHHH"), "Allow": (120, "IHHfB"), "Seal": (130, "IIB"),
+    "SetTimer": (10, "IdQ"),
+    "HealthCheck": (20, "I6s"),
+    "Post": (30, "IIs"),
+    "Print": (40, "Is"),
+    "Fault": (50, "Is"),
+    "Track": (60, "IB"),
+    "Pull": (70, "I"),
+    "Assign": (80, "IH6sf"),
+    "Empty": (90, "IH"),
+    "Withdraw": (100, "I6sB"),
+    "HandTable": (110, "IHHH"),
+    "Allow": (120, "IHHfB"),
+    "Seal": (130, "IIB"),
 }
 ROW = struct.Struct("<H6sBHBdf")
 
@@ -82,15 +103,17 @@
             fields = fixed.unpack_from(body, at)
             at += fixed.size
             if tail:
-                count, = _COUNTS[tail].unpack_from(body, at)
+                (count,) = _COUNTS[tail].unpack_from(body, at)
                 at += _COUNTS[tail].size
         except struct.error:
             raise BadFrame(f"{name} at byte {start} is cut short") from None
         if tail:
             size = count * _UNITS[tail]
             if at + size > end:
-                raise BadFrame(f"{name} at byte {start} counts {count} entries, past the frame's end")
-            fields += (_content(tail, body[at:at + size], count),)
+                raise BadFrame(
+                    f"{name} at byte {start} counts {count} entries, past the frame's end"
+                )
+            fields += (_content(tail, body[at : at + size], count),)
             at += size
         yield name, fields
 
--- a/lifthinge/wirehost/translate.py
+++ b/lifthinge/wirehost/translate.py
@@ -1,20 +1,58 @@
 """Translation between the wire's ids, units and names and the decision module's types, for one instance."""
+
 import json
 import math
 from typing import Any, Callable
 
 from lifthinge.interface import (
-    Backend, BindProxy, ClearTable, Event, FetchList, FleetNews, FollowList, Form, Leased, Listing,
-    Order, Outcome, PeerNote, Phase, Probe, ProbeResult, Proxy, ProxyJoined, ProxyLeft, ProxyLoad, Say, Seal,
-    SealConfirmed, SetLevel, SetLine, ShutOut, SiteTerms, Slice, SliceHeat, StoredLine, TellPeers, TimerDue,
-    TriesReport, Wake)
+    Backend,
+    BindProxy,
+    ClearTable,
+    Event,
+    FetchList,
+    FleetNews,
+    FollowList,
+    Form,
+    Leased,
+    Listing,
+    Order,
+    Outcome,
+    PeerNote,
+    Phase,
+    Probe,
+    ProbeResult,
+    Proxy,
+    ProxyJoined,
+    ProxyLeft,
+    ProxyLoad,
+    Say,
+    Seal,
+    SealConfirmed,
+    SetLevel,
+    SetLine,
+    ShutOut,
+    SiteTerms,
+    Slice,
+    SliceHeat,
+    StoredLine,
+    TellPeers,
+    TimerDue,
+    TriesReport,
+    Wake,
+)
 from lifthinge.terms import MS, BadTerms, read_terms
 from lifthinge.wirehost.codec import BadFrame, pack_record
 
 FORMS = {0: Form.DELTA, 1: Form.MISSED, 2: Form.FULL, 3: Form.CACHED}
 PHASES = {0: Phase.GONE, 1: Phase.READY, 2: Phase.DRAINING}
-OUTCOMES = {10: Outcome.OK, 20: Outcome.ABORTED, 30: Outcome.PUSHED_BACK, 40: Outcome.LATE,
-            50: Outcome.UNREACHABLE, 60: Outcome.BROKEN}
+OUTCOMES = {
+    10: Outcome.OK,
+    20: Outcome.ABORTED,
+    30: Outcome.PUSHED_BACK,
+    40: Outcome.LATE,
+    50: Outcome.UNREACHABLE,
+    60: Outcome.BROKEN,
+}
 EVERY_TABLE = 65535
 EVERY_PEER = 0xFFFFFFFF
 
@@ -59,30 +97,48 @@
         self.slices: dict[int, Slice] = {}
         self.proxies: dict[int, Proxy] = {}
         self.readers: dict[str, Callable[..., Event]] = {
-            "Timer": TimerDue, "Sampled": self._probe, "Memo": PeerNote, "Joined": self._joined,
-            "Disconnected": lambda proxy: ProxyLeft(self.proxy(proxy)), "Digest": self._tries,
-            "Confirmed": lambda proxy, seal, took: SealConfirmed(self.proxy(proxy), seal, took * MS),
+            "Timer": TimerDue,
+            "Sampled": self._probe,
+            "Memo": PeerNote,
+            "Joined": self._joined,
+            "Disconnected": lambda proxy: ProxyLeft(self.proxy(proxy)),
+            "Digest": self._tries,
+            "Confirmed": lambda proxy, seal, took: SealConfirmed(
+                self.proxy(proxy), seal, took * MS
+            ),
             "Ingress": lambda proxy, total, method, failed, span: ProxyLoad(
-                self.proxy(proxy), method, total, failed, span * MS),
+                self.proxy(proxy), method, total, failed, span * MS
+            ),
             "SliceLoad": lambda total, number, method, failed, span: SliceHeat(
-                self.slice(number), method, total, failed, span * MS),
+                self.slice(number), method, total, failed, span * MS
+            ),
             "Leased": lambda number, given: Leased(self.slice(number), bool(given)),
-            "LedgerLine": lambda number, ep, weight: StoredLine(self.slice(number), self.backend(ep), weight)}
+            "LedgerLine": lambda number, ep, weight: StoredLine(
+                self.slice(number), self.backend(ep), weight
+            ),
+        }
         self.writers: dict[type, Callable[[Any], bytes]] = {
             SetLine: lambda o: self._pack("Assign", o.slice.number, o.backend.ep, o.weight),
             ClearTable: lambda o: self._pack("Empty", o.slice.number),
             BindProxy: lambda o: self._pack("HandTable", o.slice.number, o.proxy.number, 0),
             ShutOut: lambda o: self._pack("Withdraw", o.backend.ep, o.out),
             SetLevel: lambda o: self._pack(
-                "Allow", sum(1 << place for place in o.methods),
-                EVERY_TABLE if o.slice is None else o.slice.number, o.level, int(o.retry)),
+                "Allow",
+                sum(1 << place for place in o.methods),
+                EVERY_TABLE if o.slice is None else o.slice.number,
+                o.level,
+                int(o.retry),
+            ),
             Seal: lambda o: self._pack("Seal", o.number, o.everyone),
             Wake: lambda o: self._pack("SetTimer", o.delay / MS, o.handle),
             Probe: lambda o: self._pack("HealthCheck", o.backend.ep),
-            TellPeers: lambda o: self._pack("Post", EVERY_PEER if o.peer is None else o.peer, o.content),
+            TellPeers: lambda o: self._pack(
+                "Post", EVERY_PEER if o.peer is None else o.peer, o.content
+            ),
             Say: lambda o: self._pack("Print", o.text.encode()[:400]),
             FollowList: lambda o: self._pack("Track", o.on),
-            FetchList: lambda o: self._pack("Pull")}
+            FetchList: lambda o: self._pack("Pull"),
+        }
 
     def backend(self, ep: bytes) -> Backend:
         return self.backends.get(ep) or self.backends.setdefault(ep, Backend(ep, ep.hex()))
@@ -102,11 +158,21 @@
         if form not in FORMS:
             raise BadFrame(f"unknown form {form} of DirectoryUpdate")
         listings = []
-        for _, ep, zone, cell, phase, started, size in rows if FORMS[form] is not Form.MISSED else ():
+        for _, ep, zone, cell, phase, started, size in (
+            rows if FORMS[form] is not Form.MISSED else ()
+        ):
             if phase not in PHASES:
                 raise BadFrame(f"unknown phase {phase} in a list")
             listings.append(
-                Listing(self.backend(ep), zone, cell, PHASES[phase], _finite(started) * MS, _finite(size)))
+                Listing(
+                    self.backend(ep),
+                    zone,
+                    cell,
+                    PHASES[phase],
+                    _finite(started) * MS,
+                    _finite(size),
+                )
+            )
         return FleetNews(FORMS[form], listings)
 
     def pack(self, order: Order) -> bytes:
@@ -117,14 +183,26 @@
         return pack_record(name, self.instance, *fields)
 
     def _probe(self, took: float, status: int, ep: bytes, load: tuple[float, ...]) -> ProbeResult:
-        return ProbeResult(self.backend(ep), OUTCOMES.get(status, Outcome.ABORTED), _finite(took) * MS, load)
+        return ProbeResult(
+            self.backend(ep), OUTCOMES.get(status, Outcome.ABORTED), _finite(took) * MS, load
+        )
 
     def _joined(self, number: int, first_time: int, size: float, zone: int) -> ProxyJoined:
         proxy = self.proxy(number)
         proxy.size, proxy.zone, proxy.bound = _finite(size), zone, False
         return ProxyJoined(proxy, bool(first_time))
 
-    def _tries(self, zone: int, ep: bytes, total: int, failed: int, took: float, span: float,
-               load: tuple[float, ...]) -> TriesReport:
+    def _tries(
+        self,
+        zone: int,
+        ep: bytes,
+        total: int,
+        failed: int,
+        took: float,
+        span: float,
+        load: tuple[float, ...],
+    ) -> TriesReport:
         backend = self.backend(ep)
-        return TriesReport(zone, backend, total, failed, _finite(took) * MS, _finite(span) * MS, load)
+        return TriesReport(
+            zone, backend, total, failed, _finite(took) * MS, _finite(span) * MS, load
+        )
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,5 @@
 """Runs the doctests, the checks, and plays every scenario; the last line counts all of them."""
+
 import doctest
 import importlib
 import logging
@@ -12,21 +13,67 @@
 from tests.play.network import Network
 from tests.play.stage import Stage
 
-MODULES = ("agreed.document", "agreed.state", "capture.anonymise", "capture.codec", "capture.segments", "capture.words", "channel", "cluster.disk", "cluster.keys", "cluster.sealing",
-           "cluster.talk", "histogram", "lab.linear", "lowest", "memory.attempts", "memory.calls", "memory.counters",
-           "memory.deadlines", "memory.slots", "memory.world", "nearest", "operators", "raft.image", "raft.log",
-           "raft.messages", "raft.node", "raft.progress", "service.environment", "service.logs", "store.records",
-           "store.store", "tables", "terms", "wire.buffer", "wire.client", "wire.door", "wire.frames", "wire.http",
-           "wire.probes", "wirehost.codec", "wirehost.translate", "wirehost.__main__")
+MODULES = (
+    "agreed.document",
+    "agreed.state",
+    "capture.anonymise",
+    "capture.codec",
+    "capture.segments",
+    "capture.words",
+    "channel",
+    "cluster.disk",
+    "cluster.keys",
+    "cluster.sealing",
+    "cluster.talk",
+    "histogram",
+    "lab.linear",
+    "lowest",
+    "memory.attempts",
+    "memory.calls",
+    "memory.counters",
+    "memory.deadlines",
+    "memory.slots",
+    "memory.world",
+    "nearest",
+    "operators",
+    "raft.image",
+    "raft.log",
+    "raft.messages",
+    "raft.node",
+    "raft.progress",
+    "service.environment",
+    "service.logs",
+    "store.records",
+    "store.store",
+    "tables",
+    "terms",
+    "wire.buffer",
+    "wire.client",
+    "wire.door",
+    "wire.frames",
+    "wire.http",
+    "wire.probes",
+    "wirehost.codec",
+    "wirehost.translate",
+    "wirehost.__main__",
+)
 HERE = Path(__file__).parent
-PLAYED = [(path, kind) for folder, kind in (("scenarios", Stage), ("network", Network), ("cluster", ClusterStage))
-          for path in sorted((HERE / folder).glob("*.txt"))]
+PLAYED = [
+    (path, kind)
+    for folder, kind in (("scenarios", Stage), ("network", Network), ("cluster", ClusterStage))
+    for path in sorted((HERE / folder).glob("*.txt"))
+]
 CHECKS: dict[str, Callable[[], None]] = {
-    **{f"store {name[6:]}": check for name, check in vars(check_store).items() if name.startswith("check_")},
+    **{
+        f"store {name[6:]}": check
+        for name, check in vars(check_store).items()
+        if name.startswith("check_")
+    },
     **{f"capture {name}": check for name, check in check_capture.CHECKS.items()},
     **{f"raft {name}": check for name, check in check_raft.CHECKS.items()},
-    **{f"members {name}": check for name, check in check_members.CHECKS.items()}}
-SLOW = 5.0      # s, then a test is named
+    **{f"members {name}": check for name, check in check_members.CHECKS.items()},
+}
+SLOW = 5.0  # s, then a test is named
 
 
 def tried(name: str, test: Callable[[], None]) -> bool:
@@ -49,8 +96,11 @@
             result = doctest.testmod(importlib.import_module("lifthinge." + name))
             failed += result.failed
             passed += result.attempted - result.failed
-    logging.disable()   # what is logged of bad input is counted, too
-    tests = [(path.name, lambda path=path, kind=kind: kind().run(path.read_text())) for path, kind in PLAYED]
+    logging.disable()  # what is logged of bad input is counted, too
+    tests = [
+        (path.name, lambda path=path, kind=kind: kind().run(path.read_text()))
+        for path, kind in PLAYED
+    ]
     for name, test in [*tests, *CHECKS.items()]:
         if only in name:
             good = tried(name, test)
--- a/tests/check_capture.py
+++ b/tests/check_capture.py
@@ -1,4 +1,5 @@
 """Every scenario of the decisions on record, with keyframes all along, and replayed from each of them."""
+
 import tempfile
 import threading
 import zlib
@@ -21,7 +22,7 @@
 from tests.play import stage
 
 HERE = Path(__file__).parent
-EVERY = 7       # turns between keyframes: a few replays each, from any state that the scenarios come to
+EVERY = 7  # turns between keyframes: a few replays each, from any state that the scenarios come to
 
 
 class Recorded(stage.Stage):
@@ -45,7 +46,7 @@
         self.records = []
         owner.records.append(self.records)
 
-    def __getattr__(self, name: str) -> object:     # what scenarios look at
+    def __getattr__(self, name: str) -> object:  # what scenarios look at
         return getattr(self.__dict__["choice"], name)
 
     def decide(self, now: float, events) -> list:
@@ -78,6 +79,7 @@
     played = Recorded()
     played.run((HERE / "scenarios" / "violator.txt").read_text())
     from lifthinge import choice
+
     mark, choice.VIOLATOR_MARK = choice.VIOLATOR_MARK, 50.0
     try:
         parted = Replay().play(played.records[0])
@@ -95,7 +97,9 @@
         def tell(self, *events: object) -> None:
             if self.choice is None:
                 self.choice = Capture(Choice(self.terms, 7), writer, counters)
-                self.choice._due.put(None)      # in step here: which turn begins a segment must not hang on threads
+                self.choice._due.put(
+                    None
+                )  # in step here: which turn begins a segment must not hang on threads
                 self.choice._thread.join()
                 self.choice._due = InStep()
             super().tell(*events)
@@ -104,6 +108,7 @@
         def put(self, records: Optional[list]) -> None:
             writer.write(records or [])
             played.choice._written.append(len(records or []))
+
     played = Captured()
     played.run("\n".join((HERE / "scenarios" / name).read_text() for name in ("fill.txt",)))
     for moment in range(int(played.now) + 400, int(played.now) + 40_000, 400):
@@ -112,7 +117,9 @@
     found = segments(folder)
     assert len(found) > 3 and found[0].path.name != "cap-00000001", [one.path.name for one in found]
     replay = Replay()
-    assert all(replay.play(read_segment(one.path)[1]) is None for one in found) and replay.turns > 10, replay.turns
+    assert (
+        all(replay.play(read_segment(one.path)[1]) is None for one in found) and replay.turns > 10
+    ), replay.turns
     whole = found[0].path.read_bytes()
     turns = []
     for size in range(0, len(whole), 97):
@@ -127,6 +134,7 @@
 def check_slow_disk_marked() -> None:
     """Where the disk is too slow turns go on, what is left out is marked, and the replay goes on at the next keyframe."""
     from lifthinge.capture import capture as module
+
     written: list[list] = []
     gate, caught_up = threading.Event(), threading.Event()
 
@@ -141,6 +149,7 @@
 
         def close(self) -> None:
             pass
+
     most, module.WAITING_MOST = module.WAITING_MOST, 20
     counters = Counters()
     try:
@@ -156,7 +165,9 @@
     marks = [one for one in written if one[0] == "x"]
     assert len(marks) == 1 and marks[0][1] < marks[0][2] <= 20_500.0, marks
     replay = Replay()
-    assert replay.play(written) is None and replay.turns > 25 and counters.get("capture.left_out") > 10
+    assert (
+        replay.play(written) is None and replay.turns > 25 and counters.get("capture.left_out") > 10
+    )
 
 
 def check_against_another_text() -> None:
@@ -180,7 +191,11 @@
     """With other names for all backends every turn still orders what it ordered, and no name of before is left."""
     for name in ("violator", "fast_errors", "drain"):
         played = Recorded()
-        played.run((HERE / "scenarios" / f"{name}.txt").read_text().replace("fleet a b c", "fleet a b c hidden"))
+        played.run(
+            (HERE / "scenarios" / f"{name}.txt")
+            .read_text()
+            .replace("fleet a b c", "fleet a b c hidden")
+        )
         records = anonymised(played.records[0], Names())
         assert "hidden" in str(played.records[0]) and "hidden" not in str(records)
         replay = Replay()
@@ -198,29 +213,45 @@
         path = folder / "cap-00000001"
         path.write_bytes(head + b"".join(pack(BLOCK, one, 0) for one in blocks))
         return read_segment(path)
+
     good = zlib.compress(msgspec.msgpack.encode(played.records[0]))
     assert Replay().play(read(good)[1]) is None
     deep = b"\x91" * 100_000 + b"\xc0"
-    for block in (zlib.compress(bytes(200 << 20), 9), zlib.compress(deep), good[:-5], b"no", zlib.compress(b"\xc1")):
+    for block in (
+        zlib.compress(bytes(200 << 20), 9),
+        zlib.compress(deep),
+        good[:-5],
+        b"no",
+        zlib.compress(b"\xc1"),
+    ):
         assert isinstance(read(block), NoCapture)
-    for part in ([["t"]], [[]], [["z", 1]], [["k", None, [], [1, {}, []]]], [["k", 1, [["b", 0, "a", [1, 2, 3]]], []]]):
+    for part in (
+        [["t"]],
+        [[]],
+        [["z", 1]],
+        [["k", None, [], [1, {}, []]]],
+        [["k", 1, [["b", 0, "a", [1, 2, 3]]], []]],
+    ):
         try:
             Replay().play(read(zlib.compress(msgspec.msgpack.encode(part)))[1])
         except Unreadable:
             continue
-        assert part == [["t"]], part        # before any keyframe: passed over
+        assert part == [["t"]], part  # before any keyframe: passed over
 
     class Reads(Replay):
         def _turn(self, place: int, now: float, events: list, digest: bytes) -> None:
             """What is read is all that is tried here."""
+
     refused = unharmed = 0
     for _ in range(150):
         records = msgspec.msgpack.decode(msgspec.msgpack.encode(played.records[0][:6]))
         place = records[dice.randrange(len(records))]
-        for _ in range(dice.randrange(1, 5)):       # somewhere inside, something else
+        for _ in range(dice.randrange(1, 5)):  # somewhere inside, something else
             inner = [one for one in place if isinstance(one, list) and one]
             place = dice.choice(inner) if inner else place
-        place[dice.randrange(len(place))] = dice.choice([None, -1, "b", [], ["b", 99], 1e300, ["d", 1]])
+        place[dice.randrange(len(place))] = dice.choice(
+            [None, -1, "b", [], ["b", 99], 1e300, ["d", 1]]
+        )
         try:
             Reads().play(records)
             unharmed += 1
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -1,4 +1,5 @@
 """Members on loopback: links that refuse what is not meant for them, one member end to end, and a short drill."""
+
 import asyncio
 import os
 import tempfile
@@ -21,7 +22,7 @@
 from lifthinge.store.files import Files
 
 KEY, OTHER, CLIENT = b"k" * 32, b"o" * 32, b"c" * 32
-PATIENCE = 20.0     # s
+PATIENCE = 20.0  # s
 PACE = Pace(election=100.0, beat=20.0)
 
 
@@ -38,6 +39,7 @@
             link = Link(self.books, lambda role: self.keys[role], "depots", "b")
             link.heard = lambda link, body: self.bodies.append(body)
             return link
+
         server = await asyncio.get_running_loop().create_server(make, "127.0.0.1", 0)
         return server.sockets[0].getsockname()[:2]
 
@@ -56,8 +58,16 @@
 
 
 def _hello(**changes) -> Hello:
-    fields = {"form": FORM, "cluster": "depots", "sender": "a", "receiver": "b", "role": "member", "key": "k",
-              "nonce": os.urandom(16), **changes}
+    fields = {
+        "form": FORM,
+        "cluster": "depots",
+        "sender": "a",
+        "receiver": "b",
+        "role": "member",
+        "key": "k",
+        "nonce": os.urandom(16),
+        **changes,
+    }
     return Hello(**fields)
 
 
@@ -70,20 +80,30 @@
 
 def check_links_refuse() -> None:
     """A wrong cluster, receiver, key, role or form is met with an end, and nothing is heard."""
+
     async def play() -> None:
         heard = Heard()
         where = await heard.open()
-        for changes, key in (({"cluster": "other"}, KEY), ({"receiver": "c"}, KEY), ({"key": "old"}, OTHER), ({}, OTHER),
-                             ({"role": "client"}, KEY), ({"form": 9}, KEY), ({"nonce": b"short"}, KEY),
-                             ({"key": "c"}, CLIENT)):
+        for changes, key in (
+            ({"cluster": "other"}, KEY),
+            ({"receiver": "c"}, KEY),
+            ({"key": "old"}, OTHER),
+            ({}, OTHER),
+            ({"role": "client"}, KEY),
+            ({"form": 9}, KEY),
+            ({"nonce": b"short"}, KEY),
+            ({"key": "c"}, CLIENT),
+        ):
             reader, _, sealer = await _meet(where, _hello(**changes), key)
             assert sealer is None and await _ended(reader), changes
         assert not heard.bodies and heard.books.counters.get("link_refused") == 8
+
     asyncio.run(asyncio.wait_for(play(), PATIENCE))
 
 
 def check_frames_bound() -> None:
     """A frame doubled, left out, from another connection, changed, or over-long ends the connection it came on."""
+
     async def play() -> None:
         heard = Heard()
         where = await heard.open()
@@ -94,6 +114,7 @@
             writer.write(make(sealer))
             assert await _ended(reader)
             assert len(heard.bodies) - before == good, make
+
         _, _, elsewhere = await _meet(where, _hello(), KEY)
         foreign = elsewhere.seal(b"x")
         await sends(lambda sealer: (frame := sealer.seal(b"x")) + frame, 1)
@@ -106,12 +127,15 @@
         def swapped(sealer):
             one, two = sealer.seal(b"1"), sealer.seal(b"2")
             return two + one
+
         await sends(swapped, 0)
+
     asyncio.run(asyncio.wait_for(play(), PATIENCE))
 
 
 def check_keys_change() -> None:
     """While a key changes both are valid; afterwards the old one is not."""
+
     async def play() -> None:
         heard = Heard()
         where = await heard.open()
@@ -129,6 +153,7 @@
         heard.keys["member"] = Keys("new", {"new": OTHER})
         reader, _, sealer = await _meet(where, _hello(), KEY)
         assert sealer is None and await _ended(reader)
+
     asyncio.run(asyncio.wait_for(play(), PATIENCE))
 
 
@@ -160,6 +185,7 @@
 
     async def start_all(self) -> None:
         import socket
+
         held = []
         for name in self.names:
             held.append(socket.create_server(("127.0.0.1", 0)))
@@ -180,6 +206,7 @@
 
 def check_member_end_to_end() -> None:
     """Proposals, compare and set, repeats, reads, a front end that never goes back, a restart that catches up."""
+
     async def play() -> None:
         trio = Trio()
         await trio.start_all()
@@ -215,6 +242,7 @@
         client.close()
         await trio.stop()
         assert not trio.failed, trio.failed
+
     asyncio.run(asyncio.wait_for(play(), 60.0))
 
 
@@ -228,33 +256,50 @@
     async def play() -> None:
         trio, told, world = Trio("a"), [], World()
         await trio.start_all()
-        part = AgreedPart(cluster="depots", members={"a": "%s:%d" % trio.where["a"]},
-                          key_file=str(trio.folder / "clients"))
+        part = AgreedPart(
+            cluster="depots",
+            members={"a": "%s:%d" % trio.where["a"]},
+            key_file=str(trio.folder / "clients"),
+        )
         site = SimpleNamespace(zones=("za", "zb"), methods=("look", "scan"))
         door = AgreedDoor(part, "n0", trio.books, world, site, told.extend, trio.keys)
         task = asyncio.create_task(door.follower.run())
         client = trio.client()
         now = trio.books.now
         reply = await client.propose(
-            {"backends": [{"id": "s-1", "reason": "disk", "until": now + 1_500.0}, {"id": "s-2", "reason": "fan"},
-                          {"id": "s-3", "reason": "long ago", "until": 1.0}],
-             "zones": [{"name": "zb", "share": 0.5}, {"name": "elsewhere", "share": 0.5}],
-             "methods": [{"name": "scan", "criticality": 9}]}, 0, "op", now, now + 10_000.0)
+            {
+                "backends": [
+                    {"id": "s-1", "reason": "disk", "until": now + 1_500.0},
+                    {"id": "s-2", "reason": "fan"},
+                    {"id": "s-3", "reason": "long ago", "until": 1.0},
+                ],
+                "zones": [{"name": "zb", "share": 0.5}, {"name": "elsewhere", "share": 0.5}],
+                "methods": [{"name": "scan", "criticality": 9}],
+            },
+            0,
+            "op",
+            now,
+            now + 10_000.0,
+        )
         assert isinstance(reply, Accepted), reply
         while len(told) < 2:
             await trio.books.pause(10.0)
         first, later = told[:2]
-        assert first.out == [world.backend("s-1"), world.backend("s-2")] and later.out == [world.backend("s-2")]
+        assert first.out == [world.backend("s-1"), world.backend("s-2")] and later.out == [
+            world.backend("s-2")
+        ]
         assert first.shares == {1: 0.5} and first.criticality == {1: 9.0}
         task.cancel()
         door.close()
         client.close()
         await trio.stop()
+
     asyncio.run(asyncio.wait_for(play(), 60.0))
 
 
 def check_bounds_refuse_at_once() -> None:
     """Over a bound a proposal is refused at once, with the reason and who leads; a member alone says nobody leads."""
+
     async def play() -> None:
         trio = Trio("a")
         trio.where = {}
@@ -273,12 +318,14 @@
         assert huge.why == "document: too large" and trio.books.now - began < 1_000.0, huge
         client.close()
         await trio.stop()
+
     asyncio.run(asyncio.wait_for(play(), 60.0))
 
 
 def check_drill() -> None:
     """Twenty seconds of kills, stops and cuts among five processes."""
     from lifthinge.lab.raftdrill import run
+
     result = run(5, 20.0, 3)
     assert result["ok"] and result["kills"] + result["cuts"] + result["stops"] > 0, result
 
--- a/tests/check_raft.py
+++ b/tests/check_raft.py
@@ -1,12 +1,19 @@
 """The protocol under chance: Hypothesis steps, random walks, and the faults that the same checks must find."""
+
 from hypothesis import HealthCheck, settings, strategies as st
-from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule, run_state_machine_as_test
+from hypothesis.stateful import (
+    RuleBasedStateMachine,
+    initialize,
+    precondition,
+    rule,
+    run_state_machine_as_test,
+)
 
 from lifthinge.lab.faults import FAULTS
 from lifthinge.lab.raftworld import NAMES, RaftWorld, Violation
 
 WHO = st.integers(0, 4)
-WALKS, STEPS = 12, 600          # without a fault
+WALKS, STEPS = 12, 600  # without a fault
 FAULT_WALKS, FAULT_STEPS = 400, 900
 
 
@@ -48,7 +55,9 @@
     def sync(self, who):
         self.world.sync(self.name(who))
 
-    @rule(who=WHO, what=st.sampled_from(["propose", "repeat", "read", "compact", "follow", "isolate"]))
+    @rule(
+        who=WHO, what=st.sampled_from(["propose", "repeat", "read", "compact", "follow", "isolate"])
+    )
     def act(self, who, what):
         getattr(self.world, what)(self.name(who))
 
@@ -76,9 +85,17 @@
 
 def check_steps() -> None:
     """No steps that Hypothesis finds break a promise."""
-    run_state_machine_as_test(Cluster, settings=settings(
-        max_examples=60, stateful_step_count=50, derandomize=True, database=None, deadline=None,
-        suppress_health_check=list(HealthCheck)))
+    run_state_machine_as_test(
+        Cluster,
+        settings=settings(
+            max_examples=60,
+            stateful_step_count=50,
+            derandomize=True,
+            database=None,
+            deadline=None,
+            suppress_health_check=list(HealthCheck),
+        ),
+    )
 
 
 def check_walks() -> None:
@@ -101,7 +118,12 @@
             except (Violation, AssertionError):
                 return
         raise AssertionError(f"the checks do not find {fault}")
+
     return check
 
 
-CHECKS = {"steps": check_steps, "walks": check_walks, **{f"finds {fault}": _finds(fault) for fault in FAULTS}}
+CHECKS = {
+    "steps": check_steps,
+    "walks": check_walks,
+    **{f"finds {fault}": _finds(fault) for fault in FAULTS},
+}
--- a/tests/check_store.py
+++ b/tests/check_store.py
@@ -1,4 +1,5 @@
 """The store under crashes: a folder in memory that loses what was not synced, cut and spoilt at every byte."""
+
 import errno
 import tempfile
 from dataclasses import dataclass
@@ -29,7 +30,7 @@
         self.names_durable: dict[str, Inode] = {}
         self.handles: dict[int, Inode] = {}
         self.left = 1 << 30
-        self.steps: list[dict[str, Inode]] = []     # the names after each change since the last sync
+        self.steps: list[dict[str, Inode]] = []  # the names after each change since the last sync
 
     def _step(self) -> None:
         self.left -= 1
@@ -119,7 +120,7 @@
 
 def _all(found, told: list) -> list:
     """Every record that a folder stands for; the snapshot here is how many it holds."""
-    return told[:int(found.snapshot or b"0")] + found.records
+    return told[: int(found.snapshot or b"0")] + found.records
 
 
 def check_crash_at_every_operation() -> None:
@@ -138,8 +139,12 @@
             found = survey(after)
             assert not isinstance(found, Damage), (left, found)
             held = _all(found, told)
-            assert held == told[:len(held)] and len(held) >= len(acknowledged), (left, held, acknowledged)
-            store = Store.open(after)      # and it can go on from there
+            assert held == told[: len(held)] and len(held) >= len(acknowledged), (
+                left,
+                held,
+                acknowledged,
+            )
+            store = Store.open(after)  # and it can go on from there
             store.append(7, b"on")
             store.sync()
             again = survey(after)
@@ -162,11 +167,13 @@
     for size in range(len(whole) + 1):
         files.names_now[name].data = whole[:size]
         found = survey(files)
-        if size < 32:       # the head of a segment that a snapshot names was durable before the snapshot was
+        if (
+            size < 32
+        ):  # the head of a segment that a snapshot names was durable before the snapshot was
             assert isinstance(found, Damage), size
             continue
         held = _all(found, told)
-        assert held == told[:len(held)], size
+        assert held == told[: len(held)], size
         counts.append(len(held))
     assert counts == sorted(counts) and counts[-1] == len(told)
 
@@ -187,7 +194,7 @@
                 refused += 1
             else:
                 held = _all(found, told)
-                assert held == told[:len(held)], (name, at)
+                assert held == told[: len(held)], (name, at)
                 last = max(name for name in files.names() if name.startswith("log"))
                 assert name == last and at >= len(whole) - 2 * (HEAD + 16), (name, at)
         files.names_now[name].data = whole
@@ -200,6 +207,7 @@
 
     def refused(*_: object) -> int:
         raise OSError(errno.EROFS, "Read-only file system")
+
     files.open = files.truncate = refused
     before = {name: files.read(name) for name in files.names()}
     try:
--- a/tests/play/cluster.py
+++ b/tests/play/cluster.py
@@ -16,6 +16,7 @@
 `voters a b c`, `learner d`, `snapshots N` (taken in, at least), `reads N` (answered, at least),
 `refused WHY` (of the last change). At the end all is mended, and all hold the same.
 """
+
 from lifthinge.lab.raftworld import RaftWorld
 from lifthinge.raft.messages import InstallSnapshot
 from lifthinge.raft.node import Refused, Role
@@ -61,8 +62,12 @@
             if self.raft(name).due <= world.now:
                 self.raft(name).election_at = world.now
             world.now += 120.0
-            for host in world.hosts.values():      # the others would wait a little longer
-                if host.raft is not None and host.name != name and host.raft.role is not Role.LEADER:
+            for host in world.hosts.values():  # the others would wait a little longer
+                if (
+                    host.raft is not None
+                    and host.name != name
+                    and host.raft.role is not Role.LEADER
+                ):
                     host.raft.election_at = max(host.raft.election_at, world.now + 50.0)
             for other in world.hosts:
                 world.tick(other)
@@ -134,7 +139,9 @@
             self.world.pass_time(5.0)
 
     def do_cut_short(self) -> None:
-        self.world.wire = [one for one in self.world.wire if not isinstance(one[2], InstallSnapshot)]
+        self.world.wire = [
+            one for one in self.world.wire if not isinstance(one[2], InstallSnapshot)
+        ]
 
     def do_leads(self, name: str) -> None:
         assert self.raft(name).role is Role.LEADER, f"{name} is {self.raft(name).role.name}"
@@ -144,8 +151,10 @@
 
     def do_nobody(self) -> None:
         now = self.world.now
-        assert not any(host.raft and host.raft.role is Role.LEADER and host.raft.in_touch(now, 100.0)
-                       for host in self.world.hosts.values()), "somebody leads"
+        assert not any(
+            host.raft and host.raft.role is Role.LEADER and host.raft.in_touch(now, 100.0)
+            for host in self.world.hosts.values()
+        ), "somebody leads"
 
     def do_version(self, name: str, number: str) -> None:
         found = self.world.hosts[name].state.version
@@ -155,11 +164,19 @@
         assert self.world.acknowledged == int(number), f"{self.world.acknowledged} acknowledged"
 
     def do_voters(self, *names: str) -> None:
-        leader = next(host for host in self.world.hosts.values() if host.raft and host.raft.role is Role.LEADER)
+        leader = next(
+            host
+            for host in self.world.hosts.values()
+            if host.raft and host.raft.role is Role.LEADER
+        )
         assert sorted(leader.raft.log.roster.voters) == sorted(names), leader.raft.log.roster.voters
 
     def do_learner(self, name: str) -> None:
-        leader = next(host for host in self.world.hosts.values() if host.raft and host.raft.role is Role.LEADER)
+        leader = next(
+            host
+            for host in self.world.hosts.values()
+            if host.raft and host.raft.role is Role.LEADER
+        )
         assert not leader.raft.log.roster.get(name).votes, f"{name} votes"
 
     def do_snapshots(self, count: str) -> None:
--- a/tests/play/network.py
+++ b/tests/play/network.py
@@ -1,4 +1,5 @@
 """Plays a scenario of the controller on loopback: scripted peers, and a clock moved by hand."""
+
 import asyncio
 import json
 import logging
@@ -18,8 +19,23 @@
 
 from lifthinge import interface
 from lifthinge.interface import (
-    Backend, ChannelState, FleetNews, Form, Leased, Listing, Phase, Proxy, RepeatCall, Retry, Seal, SetLevel,
-    SetLine, ShutOut, Slice, StoredLine)
+    Backend,
+    ChannelState,
+    FleetNews,
+    Form,
+    Leased,
+    Listing,
+    Phase,
+    Proxy,
+    RepeatCall,
+    Retry,
+    Seal,
+    SetLevel,
+    SetLine,
+    ShutOut,
+    Slice,
+    StoredLine,
+)
 from lifthinge.memory.books import Books
 from lifthinge.memory.counters import Counters, Notices
 from lifthinge.memory.deadlines import Deadlines
@@ -29,17 +45,38 @@
 from lifthinge.terms import read_map, read_terms
 
 SITE = {
-    "Balancers": 2, "SlotNo": 0, "Zones": ["za", "zb"], "MembershipMode": "push", "Weights": "nominal",
-    "Services": [{"Name": name, "Target": 0.8, "Deadline": 2.0, "Worth": 1.0} for name in ("look", "scan")],
-    "Report": {"Fields": ["utilization", "throughput"]}, "Limits": {"Probes": True, "MayTell": True, "Multiplex": 32},
+    "Balancers": 2,
+    "SlotNo": 0,
+    "Zones": ["za", "zb"],
+    "MembershipMode": "push",
+    "Weights": "nominal",
+    "Services": [
+        {"Name": name, "Target": 0.8, "Deadline": 2.0, "Worth": 1.0} for name in ("look", "scan")
+    ],
+    "Report": {"Fields": ["utilization", "throughput"]},
+    "Limits": {"Probes": True, "MayTell": True, "Multiplex": 32},
     "Rules": {"WarmUp": 16.0},
     "Specifics": {
-        "Ranges": 8, "DataPlaneSize": 6, "Admit": "ratio", "ReportEvery": 0.5, "ChannelRate": 5000.0,
-        "FixedCost": 16.0, "PendingMax": 7500.0, "PushesAllowed": 0, "UpdateWindow": 10.0, "ConnsLeast": 400.0,
-        "TransitMax": 0.3}}
-PATIENCE = 5.0      # real seconds until a scenario that waits for something has failed
-PATHS = {"call": b"POST /v3/kv/txn ", "news": b"GET /v3/kv/watch ", "list": b"GET /v1/endpoints",
-         "probe": b"GET /"}
+        "Ranges": 8,
+        "DataPlaneSize": 6,
+        "Admit": "ratio",
+        "ReportEvery": 0.5,
+        "ChannelRate": 5000.0,
+        "FixedCost": 16.0,
+        "PendingMax": 7500.0,
+        "PushesAllowed": 0,
+        "UpdateWindow": 10.0,
+        "ConnsLeast": 400.0,
+        "TransitMax": 0.3,
+    },
+}
+PATIENCE = 5.0  # real seconds until a scenario that waits for something has failed
+PATHS = {
+    "call": b"POST /v3/kv/txn ",
+    "news": b"GET /v3/kv/watch ",
+    "list": b"GET /v1/endpoints",
+    "probe": b"GET /",
+}
 
 
 class Script:
@@ -57,7 +94,7 @@
         if self.fails:
             raise RuntimeError("as the scenario says")
         orders = self.due.pop(0) if self.due else []
-        for one in rest + orders:       # the present state, as the decisions keep it
+        for one in rest + orders:  # the present state, as the decisions keep it
             if isinstance(one, Leased):
                 one.slice.lines = {}
             elif isinstance(one, (StoredLine, SetLine)):
@@ -68,15 +105,31 @@
 def told_text(event: object) -> str:
     """An event as words: its kind, then its fields with backends, slices and proxies by their ids."""
     if isinstance(event, FleetNews):
-        return " ".join(["FleetNews", event.form.value] + [
-            f"{one.backend.name}:{one.phase.value}:{one.zone}:{one.started:g}:{one.size:g}"
-            for one in event.listings])
+        return " ".join(
+            ["FleetNews", event.form.value]
+            + [
+                f"{one.backend.name}:{one.phase.value}:{one.zone}:{one.started:g}:{one.size:g}"
+                for one in event.listings
+            ]
+        )
     values = [getattr(event, field.name) for field in fields(event)]
-    return " ".join([type(event).__name__] + [
-        one.name if isinstance(one, Backend) else str(one.number) if isinstance(one, (Slice, Proxy))
-        else one.value if isinstance(one, Enum) else f"{one:g}" if isinstance(one, float)
-        else ",".join(f"{part:g}" for part in one) or "-" if isinstance(one, tuple) else str(one)
-        for one in values])
+    return " ".join(
+        [type(event).__name__]
+        + [
+            one.name
+            if isinstance(one, Backend)
+            else str(one.number)
+            if isinstance(one, (Slice, Proxy))
+            else one.value
+            if isinstance(one, Enum)
+            else f"{one:g}"
+            if isinstance(one, float)
+            else ",".join(f"{part:g}" for part in one) or "-"
+            if isinstance(one, tuple)
+            else str(one)
+            for one in values
+        ]
+    )
 
 
 class Peer:
@@ -99,7 +152,9 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 length = re.search(rb"Content-Length: (\d+)", head)
-                self.asked.append((head + await reader.readexactly(int(length[1]) if length else 0), writer))
+                self.asked.append(
+                    (head + await reader.readexactly(int(length[1]) if length else 0), writer)
+                )
         except (asyncio.IncompleteReadError, ConnectionError):
             self.over.append(writer)
 
@@ -136,10 +191,18 @@
     """
 
     def __init__(self) -> None:
-        self.site, self.known = json.loads(json.dumps(SITE)), {"version": 0, "full": True, "servers": []}
+        self.site, self.known = (
+            json.loads(json.dumps(SITE)),
+            {"version": 0, "full": True, "servers": []},
+        )
         self.now, self.script = 1_000_000.0, Script()
         self.relay, self.discovery, self.backend = Peer(), Peer(), Peer()
-        self.parties = {"call": self.relay, "news": self.relay, "list": self.discovery, "probe": self.backend}
+        self.parties = {
+            "call": self.relay,
+            "news": self.relay,
+            "list": self.discovery,
+            "probe": self.backend,
+        }
         self.inbound: dict[str, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}
         self.sockets: list[socket.socket] = []
         self.udp: list[socket.socket] = []
@@ -156,19 +219,25 @@
         for peer in (self.relay, self.discovery, self.backend):
             await peer.open()
         deaf = socket.create_server(("127.0.0.1", 0), backlog=0)
-        self.sockets += [deaf, *(socket.socket() for _ in range(3))]    # the last fill its queue
+        self.sockets += [deaf, *(socket.socket() for _ in range(3))]  # the last fill its queue
         for one in self.sockets[1:]:
             one.setblocking(False)
             one.connect_ex(deaf.getsockname())
         try:
             for number, raw in enumerate(text.splitlines(), 1):
-                text = raw.split("#")[0].replace("$backend", "%s:%d" % self.backend.where).replace(
-                    "$deaf", "%s:%d" % deaf.getsockname()).replace("$listen", "%s:%d" % self.address)
+                text = (
+                    raw.split("#")[0]
+                    .replace("$backend", "%s:%d" % self.backend.where)
+                    .replace("$deaf", "%s:%d" % deaf.getsockname())
+                    .replace("$listen", "%s:%d" % self.address)
+                )
                 for words in (one.strip().split(" ") for one in text.split(" ; ") if one.strip()):
                     try:
                         await self._do(words[0], words[1:])
                     except Exception as error:
-                        raise AssertionError(f"line {number} ({' '.join(words)}): {error!r}") from None
+                        raise AssertionError(
+                            f"line {number} ({' '.join(words)}): {error!r}"
+                        ) from None
             if self.controller:
                 self.controller.stop()
                 await self._settle()
@@ -215,8 +284,15 @@
         self.known = json.loads(text)
 
     async def do_fleet(self, count: str) -> None:
-        self.known["servers"] = [{"id": f"s-{number}", "addr": "%s:%d" % self.backend.where, "zone": "za",
-                                  "state": "ready"} for number in range(int(count))]
+        self.known["servers"] = [
+            {
+                "id": f"s-{number}",
+                "addr": "%s:%d" % self.backend.where,
+                "zone": "za",
+                "state": "ready",
+            }
+            for number in range(int(count))
+        ]
 
     async def do_start(self, sockets: str = "64") -> None:
         for _ in range(3):
@@ -227,13 +303,31 @@
         own = self.udp[0].getsockname()
         self.udp.pop(0).close()
         counters = Counters()
-        books = Books(Deadlines(lambda: self.now, lambda delay, run: SimpleNamespace(cancel=lambda: None)),
-                      counters, Notices(logging.getLogger("tests"), counters, lambda: self.now),
-                      Slots(int(sockets)), Slots(int(sockets)), Random(7))
+        books = Books(
+            Deadlines(lambda: self.now, lambda delay, run: SimpleNamespace(cancel=lambda: None)),
+            counters,
+            Notices(logging.getLogger("tests"), counters, lambda: self.now),
+            Slots(int(sockets)),
+            Slots(int(sockets)),
+            Random(7),
+        )
         site = read_map(self.site)
         peer_listen, peers = (own, (own, self.udp[0].getsockname())) if site.peers else (None, ())
-        place = Place("n0", ("127.0.0.1", 0), self.discovery.where, self.relay.where, peer_listen, peers,
-                      None, 7, int(sockets), 192.0, self.known, read_terms(self.site), site)
+        place = Place(
+            "n0",
+            ("127.0.0.1", 0),
+            self.discovery.where,
+            self.relay.where,
+            peer_listen,
+            peers,
+            None,
+            7,
+            int(sockets),
+            192.0,
+            self.known,
+            read_terms(self.site),
+            site,
+        )
         self.controller = Controller(place, books, self.script)
         await self.controller.start()
         self.address = self.controller.reception.where
@@ -246,13 +340,14 @@
                 await peer.open()
             if name in what and "away" in what:
                 peer.server.close()
-        self.controller.reload(replace(self.controller.place, relay=self.relay.where,
-                                       discovery=self.discovery.where))
+        self.controller.reload(
+            replace(self.controller.place, relay=self.relay.where, discovery=self.discovery.where)
+        )
         await self._settle()
 
     async def do_pass(self, span: str) -> None:
         end = self.now + float(span)
-        while self.now < end:       # in steps, as waits follow one another
+        while self.now < end:  # in steps, as waits follow one another
             await self._settle()
             self.now = min(self.now + 10.0, end)
             self.controller.books.deadlines.run()
@@ -260,15 +355,30 @@
 
     async def do_order(self, *words: str) -> None:
         world, orders = self.controller.world, []
-        kinds = {"backend": world.backend, "slice": lambda n: world.slice(int(n)),
-                 "proxy": lambda n: world.proxy(int(n))}
+        kinds = {
+            "backend": world.backend,
+            "slice": lambda n: world.slice(int(n)),
+            "proxy": lambda n: world.proxy(int(n)),
+        }
         for one in " ".join(words).split(", ") if words else ():
             name, *args = one.split()
             kind = getattr(interface, name)
-            values = [kinds[f.name](arg) if f.name in kinds and arg != "all" else None if arg == "all"
-                      else unescape([arg]) if f.name == "content" else arg if f.name == "text"
-                      else Retry(int(arg)) if f.name == "retry" else tuple(json.loads(arg))
-                      if f.name == "methods" else json.loads(arg) for f, arg in zip(fields(kind), args)]
+            values = [
+                kinds[f.name](arg)
+                if f.name in kinds and arg != "all"
+                else None
+                if arg == "all"
+                else unescape([arg])
+                if f.name == "content"
+                else arg
+                if f.name == "text"
+                else Retry(int(arg))
+                if f.name == "retry"
+                else tuple(json.loads(arg))
+                if f.name == "methods"
+                else json.loads(arg)
+                for f, arg in zip(fields(kind), args)
+            ]
             orders.append(kind(*values))
         self.script.due.append(orders)
         self.controller.tell([])
@@ -278,7 +388,9 @@
         await self.do_order(*", ".join([*orders, f"Seal {seal}"]).split(" "))
 
     async def do_probe_all(self) -> None:
-        await self.do_order(*", ".join(f"Probe {name}" for name in self.controller.world.backends).split(" "))
+        await self.do_order(
+            *", ".join(f"Probe {name}" for name in self.controller.world.backends).split(" ")
+        )
 
     async def do_choke(self) -> None:
         """What is written to the relay's call from now on does not leave."""
@@ -286,7 +398,9 @@
 
     async def do_told(self, *words: str) -> None:
         wanted = " ".join(words)
-        await self._until(lambda: wanted in self.script.told, lambda: f"it was told {self.script.told}")
+        await self._until(
+            lambda: wanted in self.script.told, lambda: f"it was told {self.script.told}"
+        )
         self.script.told.remove(wanted)
 
     async def do_untold(self) -> None:
@@ -303,6 +417,7 @@
     async def do_counted(self, name: str, count: str) -> None:
         def found() -> float:
             return self.controller.books.counters.get(name)
+
         await self._until(lambda: found() == float(count), lambda: f"it is {found()}")
 
     async def do_now_counted(self, name: str, count: str) -> None:
@@ -320,11 +435,16 @@
             self.address = one.getsockname()
         with tempfile.NamedTemporaryFile("w", suffix=".json", delete=False) as file:
             self.files.append(file.name)
-        self.environment = {"ROUTER_NAME": "n0", "ROUTER_LISTEN": "%s:%d" % self.address,
-                            "ROUTER_CONFIG": file.name, "ROUTER_DISCOVERY": "%s:%d" % self.discovery.where}
+        self.environment = {
+            "ROUTER_NAME": "n0",
+            "ROUTER_LISTEN": "%s:%d" % self.address,
+            "ROUTER_CONFIG": file.name,
+            "ROUTER_DISCOVERY": "%s:%d" % self.discovery.where,
+        }
         await self.do_configure(*pairs)
         self.program = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "lifthinge", env=self.environment, stderr=asyncio.subprocess.PIPE)
+            sys.executable, "-m", "lifthinge", env=self.environment, stderr=asyncio.subprocess.PIPE
+        )
 
     async def _end_program(self) -> None:
         if self.program and self.program.returncode is None:
@@ -333,11 +453,21 @@
 
     async def do_configure(self, *pairs: str) -> None:
         """Writes its configuration; what is no pair is written as it stands."""
-        conf = {"seed": "0f", "limits": {"sockets": 64}, "known": self.known, "settings": self.site,
-                "distributor": {"address": "%s:%d" % self.relay.where}, "peers": [],
-                "peer_listen": "%s:%d" % self.address, "discovery": "%s:%d" % self.discovery.where}
+        conf = {
+            "seed": "0f",
+            "limits": {"sockets": 64},
+            "known": self.known,
+            "settings": self.site,
+            "distributor": {"address": "%s:%d" % self.relay.where},
+            "peers": [],
+            "peer_listen": "%s:%d" % self.address,
+            "discovery": "%s:%d" % self.discovery.where,
+        }
         for key, value in (pair.split("=", 1) for pair in pairs if "=" in pair):
-            part, (*path, last) = self.environment if key.startswith("ROUTER") else conf, key.split(".")
+            part, (*path, last) = (
+                self.environment if key.startswith("ROUTER") else conf,
+                key.split("."),
+            )
             for name in path:
                 part = part[name]
             part[last] = value if part is self.environment else json.loads(value) if value else None
@@ -358,7 +488,9 @@
         rest = (await asyncio.wait_for(self.program.stderr.read(), PATIENCE)).decode()
         found = await self.program.wait()
         assert found == int(code), f"it ended with {found}: {rest}"
-        assert not words or rest.count("\n") == 1 and all(word in rest for word in words), f"it logged {rest}"
+        assert not words or rest.count("\n") == 1 and all(word in rest for word in words), (
+            f"it logged {rest}"
+        )
 
     async def do_signal(self, name: str) -> None:
         self.program.send_signal(getattr(signal, name))
@@ -370,6 +502,7 @@
 
         def first() -> Optional[tuple]:
             return next((one for one in peer.asked if one[0].startswith(path)), None)
+
         await self._until(first, lambda: "nothing was asked")
         found = first()
         peer.asked.remove(found)
@@ -414,7 +547,9 @@
         await self._settle()
 
     async def peer_opens(self, party: str, name: str) -> None:
-        await self.peer_raw(party, name, r"HTTP/1.1\x20200\x20OK\r\nTransfer-Encoding:\x20chunked\r\n\r\n")
+        await self.peer_raw(
+            party, name, r"HTTP/1.1\x20200\x20OK\r\nTransfer-Encoding:\x20chunked\r\n\r\n"
+        )
 
     async def peer_line(self, party: str, name: str, *words: str) -> None:
         line = " ".join(words).encode() + b"\n"
@@ -485,7 +620,9 @@
     async def in_silent(self, name: str) -> None:
         await self._settle()
         for reader, _ in self.inbound[name]:
-            assert not reader._buffer and not reader.at_eof() and not reader.exception(), "it heard something"
+            assert not reader._buffer and not reader.at_eof() and not reader.exception(), (
+                "it heard something"
+            )
 
     async def in_closes(self, name: str) -> None:
         for _, writer in self.inbound[name]:
@@ -512,7 +649,9 @@
         self.udp[1].sendto(unescape(words), self.controller.peers.peers[0])
 
     async def do_noted(self, *words: str) -> None:
-        found = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.udp[0], 512), PATIENCE)
+        found = await asyncio.wait_for(
+            asyncio.get_running_loop().sock_recv(self.udp[0], 512), PATIENCE
+        )
         assert found == unescape(words), f"it is {found!r}"
 
 
@@ -525,5 +664,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    writer.get_extra_info("socket").setsockopt(
+        socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+    )
     writer.transport.abort()
--- a/tests/play/stage.py
+++ b/tests/play/stage.py
@@ -26,19 +26,60 @@
 wait, at most), `followed N`, `bound N`, `repeated N` (calls), `forgot a`, `untold P N` (backends out
 of whose withdrawal proxy P was never told, though a table names them). In all scenarios a slice keeps an open line while one is ready.
 """
+
 from dataclasses import replace
 
 from lifthinge.choice import Choice
 from lifthinge.interface import (
-    Backend, BindProxy, ByHand, ChannelState, ClearTable, FleetNews, Forget, Form, FollowList, Leased, Listing,
-    Method, OutStands, Phase, Proxy, ProxyJoined, ProxyLeft, RepeatCall, Retry, Say, Seal, SealConfirmed, SetLevel,
-    SetLine, ShutOut, SiteTerms, Slice, SliceHeat, StoredLine, TimerDue, TriesReport, Wake)
+    Backend,
+    BindProxy,
+    ByHand,
+    ChannelState,
+    ClearTable,
+    FleetNews,
+    Forget,
+    Form,
+    FollowList,
+    Leased,
+    Listing,
+    Method,
+    OutStands,
+    Phase,
+    Proxy,
+    ProxyJoined,
+    ProxyLeft,
+    RepeatCall,
+    Retry,
+    Say,
+    Seal,
+    SealConfirmed,
+    SetLevel,
+    SetLine,
+    ShutOut,
+    SiteTerms,
+    Slice,
+    SliceHeat,
+    StoredLine,
+    TimerDue,
+    TriesReport,
+    Wake,
+)
 
 TERMS = SiteTerms(
     methods=(Method(1500.0, 5000.0, 1.0), Method(800.0, 2000.0, 3.0)),
-    sliced=True, one_owner=False, news_on_request=False, sizes_told=True, levels="ratio", report_every=1000.0,
-    channel_rate=5.0, head_lines=10.0, pending_max=7500.0, pushes_allowed=0, update_window=10000.0,
-    warm_up=16000.0)
+    sliced=True,
+    one_owner=False,
+    news_on_request=False,
+    sizes_told=True,
+    levels="ratio",
+    report_every=1000.0,
+    channel_rate=5.0,
+    head_lines=10.0,
+    pending_max=7500.0,
+    pushes_allowed=0,
+    update_window=10000.0,
+    warm_up=16000.0,
+)
 
 
 class Stage:
@@ -58,7 +99,7 @@
         self.forgotten: set[Backend] = set()
         self.next_report, self.due = self.now + self.terms.report_every, []
         self.state, self.repeats, self.sealed, self.free_at, self.last = None, 0, 0, self.now, 0.0
-        self.told: dict[Proxy, set[Backend]] = {}   # withdrawn backends, as far as a proxy was told
+        self.told: dict[Proxy, set[Backend]] = {}  # withdrawn backends, as far as a proxy was told
 
     def name(self, kind: type, name: str) -> object:
         key = kind, name
@@ -79,18 +120,27 @@
             self.sealed = number
             self.last = lines + self.terms.head_lines
             self.waiting[number] = self.last * len(self.joined)
-            if self.confirming == "paced":      # one proxy's message after the other
+            if self.confirming == "paced":  # one proxy's message after the other
                 self.free_at = max(self.free_at, self.now)
                 for place, proxy in enumerate(self.joined, 1):
                     self.free_at += (lines + self.terms.head_lines) / self.terms.channel_rate
-                    self.due.append((self.free_at + 100.0, [SealConfirmed(proxy, number, 100.0)],
-                                     number if place == len(self.joined) else 0))
+                    self.due.append(
+                        (
+                            self.free_at + 100.0,
+                            [SealConfirmed(proxy, number, 100.0)],
+                            number if place == len(self.joined) else 0,
+                        )
+                    )
             elif self.confirming == "yes":
                 answers = [SealConfirmed(p, number, 100.0) for p in self.joined]
                 self.due.append((self.now + 100.0, answers, number))
-        ready = any(kind is Backend and one.phase is Phase.READY for (kind, _), one in self.names.items())
+        ready = any(
+            kind is Backend and one.phase is Phase.READY for (kind, _), one in self.names.items()
+        )
         for slice_, lines_ in self.tables.items() if ready else ():
-            assert not lines_ or any(b not in self.out for b in lines_), f"slice {slice_.number} is left bare"
+            assert not lines_ or any(b not in self.out for b in lines_), (
+                f"slice {slice_.number} is left bare"
+            )
 
     def take(self, order: object) -> None:
         if isinstance(order, SetLine):
@@ -111,7 +161,9 @@
         elif isinstance(order, Say):
             self.said.append(order.text)
         elif isinstance(order, Forget):
-            assert not any(order.backend in table for table in self.tables.values()), "a table names it"
+            assert not any(order.backend in table for table in self.tables.values()), (
+                "a table names it"
+            )
             self.forgotten.add(order.backend)
         self.followed += isinstance(order, FollowList)
         self.repeats += isinstance(order, RepeatCall)
@@ -144,25 +196,46 @@
 
     def do_terms(self, *pairs: str) -> None:
         values = dict(pair.split("=") for pair in pairs)
-        self.terms = replace(self.terms, **{
-            key: value if key == "levels" else type(getattr(TERMS, key))(float(value))
-            for key, value in values.items()})
+        self.terms = replace(
+            self.terms,
+            **{
+                key: value if key == "levels" else type(getattr(TERMS, key))(float(value))
+                for key, value in values.items()
+            },
+        )
 
     def do_at(self, until: str) -> None:
         self.play_to(float(until))
 
     def do_list(self, name: str, phase: str, *pairs: str) -> None:
         facts = dict(pair.split("=") for pair in pairs)
-        self.tell(FleetNews(Form.DELTA, [Listing(
-            self.name(Backend, one), int(facts.get("zone", 0)), 0, Phase(phase),
-            float(facts.get("started", 0)), float(facts.get("size", 1))) for one in name.split(",")]))
+        self.tell(
+            FleetNews(
+                Form.DELTA,
+                [
+                    Listing(
+                        self.name(Backend, one),
+                        int(facts.get("zone", 0)),
+                        0,
+                        Phase(phase),
+                        float(facts.get("started", 0)),
+                        float(facts.get("size", 1)),
+                    )
+                    for one in name.split(",")
+                ],
+            )
+        )
 
     def do_hand(self, out: str, *parts: str) -> None:
         shares = dict(part.split(":") for part in parts if ":" in part)
         worth = dict(part.split("=") for part in parts if "=" in part)
-        self.tell(ByHand([self.name(Backend, one) for one in out.split(",") if one != "-"],
-                         {int(zone): float(share) for zone, share in shares.items()},
-                         {int(method): float(one) for method, one in worth.items()}))
+        self.tell(
+            ByHand(
+                [self.name(Backend, one) for one in out.split(",") if one != "-"],
+                {int(zone): float(share) for zone, share in shares.items()},
+                {int(method): float(one) for method, one in worth.items()},
+            )
+        )
 
     def do_missed(self) -> None:
         self.tell(FleetNews(Form.MISSED, []))
@@ -188,10 +261,15 @@
 
     def do_given(self, number: str, *lines: str) -> None:
         slice_ = self.name(Slice, number)
-        pairs = [(self.name(Backend, line.split(":")[0]), float(line.split(":")[1])) for line in lines]
+        pairs = [
+            (self.name(Backend, line.split(":")[0]), float(line.split(":")[1])) for line in lines
+        ]
         self.tables[slice_] = dict(pairs)
         self.levels = {key: level for key, level in self.levels.items() if key[0] is not slice_}
-        self.tell(Leased(slice_, True), *(StoredLine(slice_, backend, weight) for backend, weight in pairs))
+        self.tell(
+            Leased(slice_, True),
+            *(StoredLine(slice_, backend, weight) for backend, weight in pairs),
+        )
 
     def do_taken(self, number: str) -> None:
         self.tables.pop(self.name(Slice, number), None)
@@ -199,16 +277,35 @@
 
     def do_heard(self, name: str, total: str, aborted: str, took: str) -> None:
         self.reports["heard", name] = lambda: TriesReport(
-            0, self.name(Backend, name), int(total), int(aborted), float(took), self.terms.report_every, ())
+            0,
+            self.name(Backend, name),
+            int(total),
+            int(aborted),
+            float(took),
+            self.terms.report_every,
+            (),
+        )
 
     def do_once(self, name: str, total: str, aborted: str, took: str) -> None:
-        self.tell(TriesReport(0, self.name(Backend, name), int(total), int(aborted), float(took),
-                              self.terms.report_every, ()))
+        self.tell(
+            TriesReport(
+                0,
+                self.name(Backend, name),
+                int(total),
+                int(aborted),
+                float(took),
+                self.terms.report_every,
+                (),
+            )
+        )
 
     def do_heat(self, number: str, total: str, periods: str = "1") -> None:
         span = self.terms.report_every * int(periods)
-        self.reports["heat", number] = lambda: TimerDue(0) if self.now % span else SliceHeat(
-            self.name(Slice, number), 0, int(total), 0, span)
+        self.reports["heat", number] = lambda: (
+            TimerDue(0)
+            if self.now % span
+            else SliceHeat(self.name(Slice, number), 0, int(total), 0, span)
+        )
 
     def do_confirm(self, word: str) -> None:
         self.confirming = word
@@ -220,7 +317,9 @@
         self.tell(OutStands(backend, False))
 
     def do_channel(self, state: str) -> None:
-        self.state = ChannelState(state == "free", self.sealed if state in ("unknown", "broken") else 0, state == "broken")
+        self.state = ChannelState(
+            state == "free", self.sealed if state in ("unknown", "broken") else 0, state == "broken"
+        )
         self.tell()
 
     def do_repeated(self, count: str) -> None:
@@ -234,7 +333,9 @@
         self.said, self.sent = [], 0
 
     def do_owner(self, number: str, name: str) -> None:
-        lines = {b: w for b, w in self.tables[self.name(Slice, number)].items() if b not in self.out}
+        lines = {
+            b: w for b, w in self.tables[self.name(Slice, number)].items() if b not in self.out
+        }
         found = max(lines, key=lines.get).name
         assert found == name, f"it is {found}"
 
