--- a/lifthinge/agreed/commands.py
+++ b/lifthinge/agreed/commands.py
@@ -1,6 +1,6 @@
 """What is proposed to the members, and what becomes of it: MessagePack by msgspec."""
 
-from typing import Optional, Union
+from typing import Union
 
 import msgspec
 
@@ -66,7 +66,7 @@
     """A client's last proposal, its answer, and the entry that last used the session."""
 
     number: int
-    answer: Optional[Answer]
+    answer: Answer | None
     used: int
 
 
--- a/lifthinge/agreed/document.py
+++ b/lifthinge/agreed/document.py
@@ -14,7 +14,7 @@
 Fault(key='backends[1].id', why='x is named twice')
 """
 
-from typing import Annotated, Any, Union
+from typing import Annotated, Any
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
@@ -57,7 +57,7 @@
     methods: Annotated[tuple[MethodWorth, ...], Field(max_length=METHODS_MOST)] = ()
 
 
-def read_document(body: Any) -> Union[Document, Fault]:
+def read_document(body: Any) -> Document | Fault:
     """A checked document out of untrusted data, or the first thing that is wrong with it."""
     try:
         document = Document.model_validate(body)
--- a/lifthinge/agreed/state.py
+++ b/lifthinge/agreed/state.py
@@ -16,8 +16,6 @@
 (True, 1)
 """
 
-from typing import Optional
-
 import msgspec
 from blake3 import blake3
 
@@ -53,7 +51,7 @@
         self._bytes = 0
 
     @property
-    def latest(self) -> Optional[Version]:
+    def latest(self) -> Version | None:
         return self.versions[-1] if self.versions else None
 
     @property
--- a/lifthinge/capture/against.py
+++ b/lifthinge/capture/against.py
@@ -8,9 +8,9 @@
 import subprocess
 import tempfile
 from collections import Counter
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Iterable, Optional, Union
 
 from lifthinge.capture.turns import Replay
 from lifthinge.interface import Event, Order, Say, Wake
@@ -19,7 +19,7 @@
 QUIET = (Say, Wake)  # orders that change nothing outside
 
 
-def load_text(where: str) -> Union[type, str]:
+def load_text(where: str) -> type | str:
     """`Choice` of another text, a file or a revision of this repository; or why there is none."""
     path = Path(where)
     if path.is_dir():
@@ -57,7 +57,7 @@
     kind: type
     turns: int = 0
     parted: int = 0
-    first: Optional[Parting] = None
+    first: Parting | None = None
     ours: Counter = field(default_factory=Counter)  # orders by kind
     theirs: Counter = field(default_factory=Counter)
 
--- a/lifthinge/capture/capture.py
+++ b/lifthinge/capture/capture.py
@@ -2,10 +2,11 @@
 
 import logging
 from collections import deque
+from collections.abc import Iterable
 from pathlib import Path
 from queue import SimpleQueue
 from threading import Thread
-from typing import Any, Iterable, Optional
+from typing import Any
 
 from lifthinge.capture.segments import SegmentWriter
 from lifthinge.capture.turns import Recorder
@@ -22,10 +23,10 @@
 
     def __init__(self, choice: Choice, writer: SegmentWriter, counters: Counters) -> None:
         self.recorder, self.writer, self.counters = Recorder(choice), writer, counters
-        self._due: SimpleQueue[Optional[list[list]]] = SimpleQueue()
+        self._due: SimpleQueue[list[list] | None] = SimpleQueue()
         self._waiting = 0  # records given to the thread, less those that it has written
         self._written: deque[int] = deque()
-        self._left_out: Optional[float] = None  # since when
+        self._left_out: float | None = None  # since when
         self.failed = ""
         self._thread = Thread(target=self._run, name="capture", daemon=True)
         self._thread.start()
--- a/lifthinge/capture/codec.py
+++ b/lifthinge/capture/codec.py
@@ -20,11 +20,12 @@
 """
 
 from collections import deque
+from collections.abc import Callable, Iterator
 from dataclasses import fields
 from enum import Enum
 from operator import attrgetter
 from random import Random
-from typing import Any, Callable, Iterator
+from typing import Any
 
 from lifthinge import interface
 from lifthinge.channel import Channel
--- a/lifthinge/capture/segments.py
+++ b/lifthinge/capture/segments.py
@@ -20,7 +20,7 @@
 import zlib
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, Union
+from typing import Any
 
 import msgspec
 
@@ -121,7 +121,7 @@
     return sorted(one for one in folder.glob("cap-*") if one.name[4:].isdigit())
 
 
-def read_segment(path: Path) -> Union[tuple[dict[str, Any], list[list]], NoCapture]:
+def read_segment(path: Path) -> tuple[dict[str, Any], list[list]] | NoCapture:
     """Head and records of a segment, as far as they are whole."""
     try:
         found = list(records.scan(path.read_bytes(), 0))
@@ -154,9 +154,9 @@
     return msgspec.msgpack.decode(plain, type=list[list])
 
 
-def segments(folder: Path) -> list[Union[Segment, NoCapture]]:
+def segments(folder: Path) -> list[Segment | NoCapture]:
     """What a folder holds, oldest first."""
-    found: list[Union[Segment, NoCapture]] = []
+    found: list[Segment | NoCapture] = []
     for path in _paths(folder):
         read = read_segment(path)
         if isinstance(read, NoCapture):
--- a/lifthinge/capture/turns.py
+++ b/lifthinge/capture/turns.py
@@ -9,8 +9,9 @@
 `given` is what the adapter has set on proxies that joined. Times are milliseconds.
 """
 
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
-from typing import Any, Callable, Iterable, Iterator, Optional
+from typing import Any
 
 import msgspec
 from blake3 import blake3
@@ -77,14 +78,14 @@
 
     def __init__(self, kind: type = Choice) -> None:
         self.kind = kind  # another text of the decisions orders otherwise: nothing is compared then
-        self.coder: Optional[Coder] = None
-        self.choice: Optional[Choice] = None
+        self.coder: Coder | None = None
+        self.choice: Choice | None = None
         self.events: list[Event] = []  # of the last turn, and what was ordered
         self.orders: list[Order] = []
         self.turns = self.skipped = 0
         self.digest = blake3()  # of all orders: ten replays give one
 
-    def play(self, records: Iterable[list]) -> Optional[Parted]:
+    def play(self, records: Iterable[list]) -> Parted | None:
         """None if all came out as recorded, else where it parted; `Unreadable` if a record makes no sense."""
         for place, record in enumerate(records):
             kind = record[0] if record else None
@@ -136,7 +137,7 @@
             proxy.zone, proxy.size, proxy.bound = zone, size, bound
         return now + 0.0, [self.coder.object(one) for one in told], digest
 
-    def _turn(self, place: int, now: float, events: list[Event], digest: bytes) -> Optional[Parted]:
+    def _turn(self, place: int, now: float, events: list[Event], digest: bytes) -> Parted | None:
         orders = self.choice.decide(now, events)
         self.events, self.orders = events, orders
         found = digest_of(self.coder, orders)
--- a/lifthinge/channel.py
+++ b/lifthinge/channel.py
@@ -15,8 +15,8 @@
 """
 
 from collections import deque
+from collections.abc import Hashable, Iterable
 from itertools import islice
-from typing import Hashable, Iterable
 
 
 class Channel:
--- a/lifthinge/choice.py
+++ b/lifthinge/choice.py
@@ -6,9 +6,9 @@
 are is in `docs/design.md`. Nothing here reads a clock, a file or the network.
 """
 
+from collections.abc import Iterable
 from random import Random
 from statistics import median
-from typing import Iterable, Optional
 
 from lifthinge.channel import Channel
 from lifthinge.interface import (
@@ -564,7 +564,7 @@
         due = target.heat + COLD_KEYS * one.heat
         return due < source.heat * target.size / source.size and self._room(target, one)
 
-    def _target(self, one: Slice, source: Backend, middle: float, used: dict) -> Optional[Backend]:
+    def _target(self, one: Slice, source: Backend, middle: float, used: dict) -> Backend | None:
         """The lowest-ratio server at or below the median that the slice fits on; unheard is average."""
         ratios = {
             b: middle if b.ratio is None else b.ratio for b in self.backends if self._usable(b)
@@ -672,7 +672,7 @@
             ),
         )
 
-    def _spare(self, one: Slice, warm: list[Backend]) -> Optional[Backend]:
+    def _spare(self, one: Slice, warm: list[Backend]) -> Backend | None:
         """A standby line, for who loses the owner: one that the table has, else one in another zone."""
         had = [b for b in one.lines if b is not one.owner and self._warm(b) and not b.shut_out]
         if had:
--- a/lifthinge/cli/agreed.py
+++ b/lifthinge/cli/agreed.py
@@ -4,7 +4,7 @@
 import getpass
 import json
 import time
-from datetime import datetime, timezone
+from datetime import UTC, datetime
 
 import click
 
@@ -67,7 +67,7 @@
         when = datetime.fromisoformat(text)
     except ValueError:
         stop(f"{path}:{line}: until: not a time such as 2026-05-01T18:00:00+02:00")
-    return when.replace(tzinfo=when.tzinfo or timezone.utc).timestamp() * 1000.0
+    return when.replace(tzinfo=when.tzinfo or UTC).timestamp() * 1000.0
 
 
 def body_of(document: Document) -> dict:
@@ -176,7 +176,7 @@
             one.version,
             one.term,
             one.index,
-            datetime.fromtimestamp(one.at / 1000, timezone.utc).isoformat(timespec="seconds"),
+            datetime.fromtimestamp(one.at / 1000, UTC).isoformat(timespec="seconds"),
             one.author,
             one.digest.hex()[:16],
         )
--- a/lifthinge/cli/capture.py
+++ b/lifthinge/cli/capture.py
@@ -1,6 +1,6 @@
 """`lifthinge capture`."""
 
-from datetime import datetime, timezone
+from datetime import UTC, datetime
 from pathlib import Path
 
 import click
@@ -35,7 +35,7 @@
             continue
         size = one.path.stat().st_size
         first, last = (
-            datetime.fromtimestamp(at / 1000, timezone.utc).isoformat(timespec="milliseconds")
+            datetime.fromtimestamp(at / 1000, UTC).isoformat(timespec="milliseconds")
             for at in (one.first, one.last)
         )
         rows.append((one.path.name, first, last, one.turns, size, one.head.get("name", "")))
--- a/lifthinge/cli/common.py
+++ b/lifthinge/cli/common.py
@@ -4,7 +4,8 @@
 import json
 import sys
 import time
-from typing import Any, Awaitable, Callable, Iterable, NoReturn, TypeVar
+from collections.abc import Awaitable, Callable, Iterable
+from typing import Any, NoReturn, TypeVar
 
 import click
 
--- a/lifthinge/cluster/client.py
+++ b/lifthinge/cluster/client.py
@@ -1,7 +1,7 @@
 """Asks the members: finds who leads, and repeats under the same number until it is known what became of it."""
 
 import asyncio
-from typing import Any, Optional, Union
+from typing import Any
 
 import msgspec
 
@@ -26,7 +26,7 @@
         self.books, self.link = books, link
         self._number = 0
         self._waiting: dict[int, asyncio.Future] = {}
-        self.told: Optional[asyncio.Queue] = None  # what comes after the first answer of a Follow
+        self.told: asyncio.Queue | None = None  # what comes after the first answer of a Follow
         link.heard, link.closed = self._heard, self._closed
 
     def _heard(self, link: Link, body: bytes) -> None:
@@ -45,7 +45,7 @@
         if self.told is not None:
             self.told.put_nowait(None)
 
-    async def ask(self, what: talk.Ask, wait: float = ANSWER_WAIT) -> Optional[talk.Reply]:
+    async def ask(self, what: talk.Ask, wait: float = ANSWER_WAIT) -> talk.Reply | None:
         """The answer; None if the connection broke or nothing came in time: what was asked may have run."""
         self._number += 1
         number = self._number
@@ -64,9 +64,7 @@
         self.link.abort()
 
 
-async def call(
-    books: Books, where: Address, cluster: str, name: str, keys: KeyFile
-) -> Optional[Call]:
+async def call(books: Books, where: Address, cluster: str, name: str, keys: KeyFile) -> Call | None:
     """A connection to a member, both sides known; None if there is none to be had."""
 
     def make() -> Link:
@@ -95,7 +93,7 @@
             name,
             keys,
         )
-        self._call: Optional[Call] = None
+        self._call: Call | None = None
         self._at = ""
         self.session, self.number = 0, 0
         self.tries = 0
@@ -105,7 +103,7 @@
             self._call.close()
             self._call = None
 
-    async def _reach(self, hint: str = "") -> Optional[Call]:
+    async def _reach(self, hint: str = "") -> Call | None:
         """The connection in use, or another: to who is said to lead, else to any."""
         if hint and hint != self._at and hint in self.members:
             self.close()
@@ -118,7 +116,7 @@
             )
         return self._call
 
-    async def ask(self, what: talk.Ask, until: float) -> Optional[talk.Reply]:
+    async def ask(self, what: talk.Ask, until: float) -> talk.Reply | None:
         """An answer from who can give it, by `until` (ms, the books' clock); None if none came.
 
         What took no effect, or takes it once however often it is sent, is sent again.
@@ -143,7 +141,7 @@
 
     async def propose(
         self, document: dict[str, Any], on: int, author: str, at: float, until: float
-    ) -> Union[Accepted, Outdated, Unusable, Sorry, None]:
+    ) -> Accepted | Outdated | Unusable | Sorry | None:
         """Proposes a document in place of version `on`; takes effect once, however often it is sent."""
         if not self.session:
             opened = await self.ask(talk.Begin(self.books.dice.randbytes(8)), until)
--- a/lifthinge/cluster/disk.py
+++ b/lifthinge/cluster/disk.py
@@ -14,10 +14,9 @@
 """
 
 import asyncio
-from pathlib import Path
+from collections.abc import Callable, Iterable
 from queue import SimpleQueue
 from threading import Thread
-from typing import Callable, Iterable, Optional, Union
 
 import msgspec
 
@@ -32,7 +31,7 @@
 
 class _Vote(msgspec.Struct, array_like=True):
     term: int
-    voted: Union[str, None]
+    voted: str | None
 
 
 class Cluster(msgspec.Struct, array_like=True):
@@ -45,7 +44,7 @@
 
 _vote, _entry = msgspec.msgpack.Decoder(_Vote), msgspec.msgpack.Decoder(Entry)
 _snapshot, _cluster = (
-    msgspec.msgpack.Decoder(tuple[Union[Cluster, None], Snapshot]),
+    msgspec.msgpack.Decoder(tuple[Cluster | None, Snapshot]),
     msgspec.msgpack.Decoder(Cluster),
 )
 _encode = msgspec.msgpack.Encoder().encode
@@ -54,7 +53,7 @@
 class Disk:
     """The store, and in memory what it holds; used by one thread at a time."""
 
-    def __init__(self, store: Store, image: Image, cluster: Union[Cluster, None]) -> None:
+    def __init__(self, store: Store, image: Image, cluster: Cluster | None) -> None:
         self.store, self.image, self.cluster = store, image, cluster
 
     def begin(self, cluster: Cluster) -> None:
@@ -94,7 +93,7 @@
         self.image.take(write)
 
 
-def open_disk(files: Files) -> Union[Disk, Damage]:
+def open_disk(files: Files) -> Disk | Damage:
     """A folder as the protocol needs it; damage is told, never mended by guessing."""
     store = Store.open(files)
     if isinstance(store, Damage):
@@ -108,8 +107,8 @@
 
 
 def replay(
-    snapshot: Union[bytes, None], records: Iterable[tuple[int, bytes]]
-) -> Union[tuple[Image, Union[Cluster, None]], Damage]:
+    snapshot: bytes | None, records: Iterable[tuple[int, bytes]]
+) -> tuple[Image, Cluster | None] | Damage:
     """What a snapshot and the records after it come to."""
     image, cluster, place = Image(), None, 0
     try:
@@ -143,7 +142,7 @@
         self.disk, self._done, self._failed = disk, done, failed
         self._waiting: list[Write] = []
         self._busy = self._closed = False
-        self._due: SimpleQueue[Optional[list[Write]]] = SimpleQueue()
+        self._due: SimpleQueue[list[Write] | None] = SimpleQueue()
         self._loop = asyncio.get_running_loop()
         self._thread = Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
@@ -173,7 +172,7 @@
             except RuntimeError:  # the loop is closed: nobody waits any more
                 return
 
-    def _ended(self, error: Optional[Exception], number: int) -> None:
+    def _ended(self, error: Exception | None, number: int) -> None:
         self._busy = False
         if self._closed:
             return
--- a/lifthinge/cluster/follower.py
+++ b/lifthinge/cluster/follower.py
@@ -2,7 +2,7 @@
 
 import asyncio
 import logging
-from typing import Callable, Optional
+from collections.abc import Callable
 
 from lifthinge.agreed.state import Fence
 from lifthinge.cluster import talk
@@ -38,7 +38,7 @@
         )
         self.told, self.fence = told, Fence()
         self.current = False  # a member that hears a majority vouches for what is held
-        self._call: Optional[Call] = None
+        self._call: Call | None = None
 
     async def run(self) -> None:
         """Follows for good: from one member until it is no longer current, then from another."""
--- a/lifthinge/cluster/keys.py
+++ b/lifthinge/cluster/keys.py
@@ -24,7 +24,6 @@
 import os
 import stat
 from dataclasses import dataclass
-from typing import Optional, Union
 
 KEY_BYTES, KEYS_MOST, FILE_MOST = 32, 2, 4096
 
@@ -43,7 +42,7 @@
     by_id: dict[str, bytes]
 
 
-def read_keys(path: str) -> Union[Keys, NoKeys]:
+def read_keys(path: str) -> Keys | NoKeys:
     """The keys of a file: lines of a name and 64 hexadecimal digits."""
     try:
         with open(path, encoding="ascii") as file:
@@ -79,7 +78,7 @@
         self.path, self.keys, self.fault = path, keys, None
         self._seen = self._stamp()
 
-    def _stamp(self) -> Optional[tuple[int, int, int]]:
+    def _stamp(self) -> tuple[int, int, int] | None:
         try:
             found = os.stat(self.path)
         except OSError:
--- a/lifthinge/cluster/link.py
+++ b/lifthinge/cluster/link.py
@@ -1,6 +1,6 @@
 """A connection between members, or from a client: hellos, then sealed frames both ways."""
 
-from typing import Callable, Optional
+from collections.abc import Callable
 
 from lifthinge.cluster.keys import Keys
 from lifthinge.cluster.sealing import (
@@ -44,13 +44,13 @@
         super().__init__(books, FRAME_MOST + HEAD)
         self.keys, self.cluster, self.name, self.role, self.dials = keys, cluster, name, role, dials
         self.expects = expects  # who must answer; empty: whoever holds the key
-        self.hello: Optional[Hello] = None  # ours
-        self.other: Optional[Hello] = None  # theirs
-        self.opened: Callable[["Link"], None] = lambda link: None
-        self.heard: Callable[["Link", bytes], None] = lambda link, body: None
-        self.closed: Callable[["Link"], None] = lambda link: None
-        self._sealer: Optional[Sealer] = None
-        self._opener: Optional[Opener] = None
+        self.hello: Hello | None = None  # ours
+        self.other: Hello | None = None  # theirs
+        self.opened: Callable[[Link], None] = lambda link: None
+        self.heard: Callable[[Link, bytes], None] = lambda link, body: None
+        self.closed: Callable[[Link], None] = lambda link: None
+        self._sealer: Sealer | None = None
+        self._opener: Opener | None = None
         self._deadline = None
 
     def connection_made(self, transport) -> None:
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -3,12 +3,14 @@
 import asyncio
 import logging
 from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Callable, Optional, Union
+from typing import Any
 
 import msgspec
 
-from lifthinge.agreed.commands import OpenSession, Propose, pack as pack_command
+from lifthinge.agreed.commands import OpenSession, Propose
+from lifthinge.agreed.commands import pack as pack_command
 from lifthinge.agreed.document import Fault, read_document
 from lifthinge.agreed.state import BODY_MOST, Agreed
 from lifthinge.cluster import talk
@@ -86,7 +88,7 @@
         self._to_apply: list[tuple[int, object]] = []  # reads that wait until this index is applied
         self._turn_due = self._over = False
         self._tick: Any = None
-        self._server: Optional[asyncio.Server] = None
+        self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task] = set()
         self._catching_up = False
         self._role = Role.FOLLOWER
@@ -213,7 +215,7 @@
 
     # Applying.
 
-    def _apply(self, one: Union[Entry, Snapshot]) -> None:
+    def _apply(self, one: Entry | Snapshot) -> None:
         if isinstance(one, Snapshot):
             if one.data:
                 self.state.restore(one.data)
@@ -491,7 +493,7 @@
         else:
             self._settle(ask, self.raft.propose(pack_command(what), self.books.now))
 
-    def _settle(self, ask: _Ask, came: Union[int, Refused, None]) -> None:
+    def _settle(self, ask: _Ask, came: int | Refused | None) -> None:
         """What the protocol made of an ask: an index to wait for, a refusal, or (a read) nothing yet."""
         if isinstance(came, Refused):
             self._reads.pop(ask, None)
--- a/lifthinge/cluster/sealing.py
+++ b/lifthinge/cluster/sealing.py
@@ -18,7 +18,6 @@
 """
 
 import hmac
-from typing import Union
 
 import msgspec
 from blake3 import blake3
@@ -55,7 +54,7 @@
     return _mac(key, b"hello", body) + body
 
 
-def read_hello(frame: bytes, keys: dict[str, bytes]) -> Union[Hello, str]:
+def read_hello(frame: bytes, keys: dict[str, bytes]) -> Hello | str:
     """A hello that is signed by one of these keys, or why it is none."""
     try:
         hello = _decoder.decode(frame[MAC:])
@@ -101,7 +100,7 @@
 class Opener(Sealer):
     """One direction's receiving end."""
 
-    def open(self, frame: bytes) -> Union[bytes, None]:
+    def open(self, frame: bytes) -> bytes | None:
         """The body of a frame without its length; None if it does not fit here and now."""
         body = frame[MAC:]
         return (
--- a/lifthinge/cluster/talk.py
+++ b/lifthinge/cluster/talk.py
@@ -1,6 +1,6 @@
 """What clients ask a member, and what they are answered: MessagePack in sealed frames, numbered by the asker."""
 
-from typing import Optional, Union
+from typing import Union
 
 import msgspec
 
@@ -16,7 +16,7 @@
 class Show(msgspec.Struct, array_like=True, frozen=True, tag=True):
     """The document that stands now, agreed by a majority; `version` asks for one of before."""
 
-    version: Optional[int] = None
+    version: int | None = None
 
 
 class History(msgspec.Struct, array_like=True, frozen=True, tag=True):
@@ -33,7 +33,7 @@
     """Adds a member, or removes it where no address is given."""
 
     name: str
-    address: Optional[str] = None
+    address: str | None = None
 
 
 class HandOver(msgspec.Struct, array_like=True, frozen=True, tag=True):
@@ -109,7 +109,7 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-def pack(number: int, one: Union[Ask, Reply]) -> bytes:
+def pack(number: int, one: Ask | Reply) -> bytes:
     return _encoder.encode((number, one))
 
 
@@ -122,7 +122,7 @@
     return _replies.decode(body)
 
 
-def shown(version: Optional[Version], body: bool = True) -> Shown:
+def shown(version: Version | None, body: bool = True) -> Shown:
     """A version as it is told.
 
     >>> shown(None).version
--- a/lifthinge/interface.py
+++ b/lifthinge/interface.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
-from typing import Any, Optional, Union
+from typing import Any, Union
 
 from lifthinge.histogram import Histogram
 from lifthinge.lowest import Lowest
@@ -98,8 +98,8 @@
     # working memory
     shut_out: bool = False  # present state: withdrawn from the joined proxies
     lows: Lowest = field(default_factory=Lowest)
-    ratio: Optional[float] = None
-    heard_at: Optional[float] = None
+    ratio: float | None = None
+    heard_at: float | None = None
     strikes: int = 0
     ok: float = 0.0
     aborted: float = 0.0
@@ -119,7 +119,7 @@
     slow: float = 0.0  # mean latency of late, smoothed
     on_trial: bool = False  # was shut, and has not answered well since
     dry: float = 0.0  # asked since a try last went well
-    eased_from: Optional[float] = None
+    eased_from: float | None = None
     ease_span: float = 1.0
     heat: float = 0.0
     home_heat: float = 0.0  # of the slices that it owns, wherever they are served
@@ -133,13 +133,13 @@
     number: int
     held: bool = False
     lines: dict = field(default_factory=dict)  # present state: backend -> weight
-    owner: Optional[Backend] = None
+    owner: Backend | None = None
     wanted: dict = field(default_factory=dict)  # backend -> part of the slice's RPCs
     owed: list = field(default_factory=list)  # lines that bring the present state to the wanted one
     shifts: bool = False  # whether those shift RPCs, or only stand by
     rests_until: float = 0.0
-    moved_at: Optional[float] = None
-    heat: Optional[float] = None  # RPCs a millisecond
+    moved_at: float | None = None
+    heat: float | None = None  # RPCs a millisecond
     rates: dict = field(default_factory=dict)  # method -> RPCs a millisecond, and when last heard
     let_in: float = 0.0
     levels: tuple = (1.0, 1.0)  # present state: let in of the least criticality, and of others
@@ -341,7 +341,7 @@
 @dataclass(frozen=True, slots=True)
 class SetLevel:
     methods: tuple[int, ...]
-    slice: Optional[Slice]  # None: every slice of the instance
+    slice: Slice | None  # None: every slice of the instance
     level: float
     retry: Retry
 
@@ -365,7 +365,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TellPeers:
-    peer: Optional[int]  # None: all of them
+    peer: int | None  # None: all of them
     content: bytes
 
 
--- a/lifthinge/lab/capturebench.py
+++ b/lifthinge/lab/capturebench.py
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 from random import Random
-from typing import Any, Iterator
+from typing import Any
 
 import msgspec
 
--- a/lifthinge/lab/cuts.py
+++ b/lifthinge/lab/cuts.py
@@ -5,7 +5,6 @@
 """
 
 import asyncio
-from typing import Optional
 
 import msgspec
 
@@ -20,7 +19,7 @@
 
     def __init__(self, pair: "_Pair", dialled: bool) -> None:
         self.pair, self.dialled = pair, dialled
-        self.transport: Optional[asyncio.Transport] = None
+        self.transport: asyncio.Transport | None = None
         self._block = bytearray(BLOCK)
 
     def connection_made(self, transport) -> None:
@@ -32,7 +31,7 @@
     def buffer_updated(self, nbytes: int) -> None:
         self.pair.came(self, bytes(self._block[:nbytes]))
 
-    def connection_lost(self, error: Optional[Exception]) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         self.pair.end()
 
 
@@ -105,7 +104,7 @@
         self.name, self.target, self.cuts = name, target, cuts
         self.pairs: dict[_Pair, None] = {}
         self.tasks: set[asyncio.Task] = set()
-        self.server: Optional[asyncio.Server] = None
+        self.server: asyncio.Server | None = None
 
     async def open(self) -> tuple[str, int]:
         self.server = await asyncio.get_running_loop().create_server(
--- a/lifthinge/lab/faults.py
+++ b/lifthinge/lab/faults.py
@@ -3,8 +3,6 @@
 Kept as a command (`lifthinge drill raft-model --fault NAME`), so that the checkers are known to be able to fail.
 """
 
-from typing import Optional
-
 from lifthinge.agreed.state import Agreed, Fence
 from lifthinge.raft.messages import Entry
 from lifthinge.raft.node import Raft, Refused
@@ -41,7 +39,7 @@
 class ChangesTwoAtOnce(Raft):
     """Begins a change of members while another is under way."""
 
-    def _change_blocked(self) -> Optional[Refused]:
+    def _change_blocked(self) -> Refused | None:
         blocked = super()._change_blocked()
         return blocked if blocked and blocked.leader != self.name else None
 
--- a/lifthinge/lab/linear.py
+++ b/lifthinge/lab/linear.py
@@ -15,7 +15,8 @@
 False
 """
 
-from typing import Iterable, NamedTuple, Optional
+from collections.abc import Iterable
+from typing import NamedTuple
 
 
 class Seen(NamedTuple):
@@ -25,7 +26,7 @@
     wrote: bool
 
 
-def misorder(history: Iterable[Seen]) -> Optional[tuple[Seen, Seen]]:
+def misorder(history: Iterable[Seen]) -> tuple[Seen, Seen] | None:
     """Two operations that no order of all agrees with; None if there is one that does."""
     by_ask = sorted(history)
     writes: dict[int, Seen] = {}
--- a/lifthinge/lab/raftbench.py
+++ b/lifthinge/lab/raftbench.py
@@ -15,14 +15,14 @@
 
 from lifthinge.agreed.commands import Propose
 from lifthinge.cluster import talk
-from lifthinge.lab.raftdrill import ELECTION, Drill, START_WAIT
+from lifthinge.lab.raftdrill import ELECTION, START_WAIT, Drill
 
 TICKS = os.sysconf("SC_CLK_TCK")
 BODY = {"backends": [{"id": "s-1", "reason": "bench", "until": 0.0}]}
 
 
 def bare_sync(folder: Path, size: int = 200, count: int = 300) -> list[float]:
-    """ms of an append and fdatasync, each."""
+    """Ms of an append and fdatasync, each."""
     file, waits = os.open(folder / "bare", os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600), []
     for _ in range(count):
         began = time.perf_counter()
@@ -34,7 +34,7 @@
 
 
 def bare_echo(count: int = 2_000, size: int = 200) -> list[float]:
-    """ms of an echo over loopback, each, between two threads with plain sockets."""
+    """Ms of an echo over loopback, each, between two threads with plain sockets."""
     server = socket.create_server(("127.0.0.1", 0))
 
     def serve() -> None:
--- a/lifthinge/lab/raftdrill.py
+++ b/lifthinge/lab/raftdrill.py
@@ -17,7 +17,7 @@
 import time
 from pathlib import Path
 from random import Random
-from typing import Any, Optional
+from typing import Any
 
 from lifthinge.agreed.commands import Accepted, Outdated
 from lifthinge.agreed.state import Fence
@@ -140,7 +140,7 @@
         return AgreedClient(self.books, self.addresses, "drill", name, self.watch_keys)
 
     async def reports(self, wait: float = 300.0) -> dict[str, talk.Report]:
-        async def one(name: str) -> Optional[talk.Report]:
+        async def one(name: str) -> talk.Report | None:
             link = self.watched.get(name)
             if link is None or link.link.lost:
                 link = await call(
@@ -221,14 +221,14 @@
                     break
                 try:
                     reply = await asyncio.wait_for(link.told.get(), 0.5)
-                except asyncio.TimeoutError:
+                except TimeoutError:
                     pass
             link.close()
             await self.books.pause(50.0)
 
     async def watch(self) -> None:
         """How long nobody leads a majority, as seen by asking all."""
-        lost_at: Optional[float] = None
+        lost_at: float | None = None
         while not self.over:
             reports = await self.reports()
             leads = [one for one in reports.values() if one.role == "leader" and one.in_touch]
@@ -285,12 +285,12 @@
             and self.running[name].poll() is None
         ]
 
-    async def _leader(self) -> Optional[str]:
+    async def _leader(self) -> str | None:
         reports = await self.reports()
         found = [one for one in reports.values() if one.role == "leader"]
         return max(found, key=lambda one: one.term).name if found else None
 
-    async def _kill(self, name: Optional[str]) -> None:
+    async def _kill(self, name: str | None) -> None:
         if name in self._well():
             self.say("kill", name)
             self.kills += 1
@@ -302,7 +302,7 @@
     async def act_kill_leader(self) -> None:
         await self._kill(await self._leader())
 
-    async def _stop(self, name: Optional[str]) -> None:
+    async def _stop(self, name: str | None) -> None:
         if name in self._well():
             self.say("stop", name)
             self.stops += 1
--- a/lifthinge/lab/raftworld.py
+++ b/lifthinge/lab/raftworld.py
@@ -7,7 +7,6 @@
 from collections import Counter
 from dataclasses import dataclass, field
 from random import Random
-from typing import Optional
 
 import msgspec
 
@@ -17,7 +16,6 @@
 from lifthinge.raft.image import Image
 from lifthinge.raft.messages import (
     AppendEntries,
-    AppendReply,
     Entry,
     Kind,
     Member,
@@ -46,11 +44,11 @@
 
     name: str
     image: Image
-    raft: Optional[Raft] = None
+    raft: Raft | None = None
     state: Agreed = field(default_factory=Agreed)
     unsynced: list[Write] = field(default_factory=list)
     reads: dict[object, int] = field(default_factory=dict)  # answered, waiting to be applied: index
-    led: Optional[tuple[int, list]] = None
+    led: tuple[int, list] | None = None
 
 
 @dataclass
@@ -60,7 +58,7 @@
     session: int
     number: int
     command: Propose
-    answer: Optional[Answer] = None
+    answer: Answer | None = None
 
 
 class RaftWorld:
--- a/lifthinge/memory/calls.py
+++ b/lifthinge/memory/calls.py
@@ -15,8 +15,8 @@
 (True, False)
 """
 
+from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import Iterable, Optional
 
 from lifthinge.interface import ClearTable, Order, Seal, SetLine, Slice
 
@@ -65,7 +65,7 @@
             one for one in self._waiting if getattr(one.order, "slice", None) is not gone
         ]
 
-    def seal(self) -> Optional[int]:
+    def seal(self) -> int | None:
         return next(
             (one.order.number for one in self._waiting if isinstance(one.order, Seal)), None
         )
--- a/lifthinge/memory/counters.py
+++ b/lifthinge/memory/counters.py
@@ -8,7 +8,8 @@
 """
 
 import logging
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 
 class Counters:
--- a/lifthinge/memory/deadlines.py
+++ b/lifthinge/memory/deadlines.py
@@ -16,7 +16,8 @@
 
 import heapq
 import logging
-from typing import Any, Callable, Optional
+from collections.abc import Callable
+from typing import Any
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +31,7 @@
         self, at: float, order: int, action: Callable[[], Any], table: "Deadlines"
     ) -> None:
         self.at, self.order, self.table = at, order, table
-        self.action: Optional[Callable[[], Any]] = action
+        self.action: Callable[[], Any] | None = action
 
     @property
     def pending(self) -> bool:
--- a/lifthinge/memory/slots.py
+++ b/lifthinge/memory/slots.py
@@ -11,7 +11,7 @@
 (True, False, None, 'c', 'b')
 """
 
-from typing import Generic, Optional, TypeVar
+from typing import Generic, TypeVar
 
 T = TypeVar("T")
 _BITS = 16
@@ -22,11 +22,11 @@
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self._items: list[Optional[T]] = []
+        self._items: list[T | None] = []
         self._generations: list[int] = []
         self._free: list[int] = []
 
-    def put(self, item: T) -> Optional[int]:
+    def put(self, item: T) -> int | None:
         """The handle of the item, or None if all slots are taken."""
         if self._free:
             slot = self._free.pop()
@@ -39,12 +39,12 @@
         self._items[slot] = item
         return self._generations[slot] << _BITS | slot
 
-    def get(self, handle: int) -> Optional[T]:
+    def get(self, handle: int) -> T | None:
         slot = handle & (1 << _BITS) - 1
         fits = slot < len(self._items) and self._generations[slot] == handle >> _BITS
         return self._items[slot] if fits else None
 
-    def free(self, handle: int) -> Optional[T]:
+    def free(self, handle: int) -> T | None:
         """Empties the slot, once; gives what it held."""
         item = self.get(handle)
         if item is not None:
--- a/lifthinge/memory/world.py
+++ b/lifthinge/memory/world.py
@@ -10,7 +10,6 @@
 """
 
 from dataclasses import dataclass, field
-from typing import Optional
 
 from lifthinge.interface import Backend, Listing, Proxy, Slice
 
@@ -34,7 +33,7 @@
     joined: dict[Proxy, bool] = field(default_factory=dict)  # whether each came fresh
     withdrawn: dict[str, None] = field(default_factory=dict)  # ids forgotten, oldest first
 
-    def backend(self, name: str) -> Optional[Backend]:
+    def backend(self, name: str) -> Backend | None:
         """The backend of this id; None if it is new and there is no room."""
         if name not in self.backends and len(self.backends) >= BACKENDS_MOST:
             return None
--- a/lifthinge/nearest.py
+++ b/lifthinge/nearest.py
@@ -4,9 +4,9 @@
 ('election', None)
 """
 
+from collections.abc import Iterable
 from difflib import get_close_matches
-from typing import Iterable, Optional
 
 
-def nearest(name: str, known: Iterable[str]) -> Optional[str]:
+def nearest(name: str, known: Iterable[str]) -> str | None:
     return next(iter(get_close_matches(name, list(known), 1)), None)
--- a/lifthinge/operators.py
+++ b/lifthinge/operators.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Annotated, Any, Literal, Optional, Union
+from typing import Annotated, Any, Literal
 
 import hcl2
 from lark.exceptions import UnexpectedInput
@@ -118,15 +118,15 @@
 
 class Operators(_Part):
     log: LogLines = LogLines()
-    member: Optional[MemberPart] = None
-    agreed: Optional[AgreedPart] = None
-    capture: Optional[CapturePart] = None
+    member: MemberPart | None = None
+    agreed: AgreedPart | None = None
+    capture: CapturePart | None = None
 
 
 _BLOCKS = ("log", "member", "agreed", "capture")
 
 
-def read_hcl(text: str, file: str) -> Union[dict[str, Any], Unfit]:
+def read_hcl(text: str, file: str) -> dict[str, Any] | Unfit:
     """The data of a file; blocks are lists."""
     try:
         return _plain(hcl2.loads(text if text.endswith("\n") else text + "\n"))
@@ -179,7 +179,7 @@
     return at + 1
 
 
-def read_operators(text: str, file: str) -> Union[Operators, Unfit]:
+def read_operators(text: str, file: str) -> Operators | Unfit:
     """A checked file, or the first thing that is wrong with it."""
     data = read_hcl(text, file)
     if isinstance(data, Unfit):
@@ -198,12 +198,12 @@
         )
 
 
-def load_operators(path: str) -> Union[Operators, Unfit]:
+def load_operators(path: str) -> Operators | Unfit:
     found = read_text(path)
     return found if isinstance(found, Unfit) else read_operators(found, path)
 
 
-def read_text(path: str) -> Union[str, Unfit]:
+def read_text(path: str) -> str | Unfit:
     """A file's text, if it is one of a sane size."""
     try:
         data = Path(path).read_bytes()
--- a/lifthinge/raft/image.py
+++ b/lifthinge/raft/image.py
@@ -13,9 +13,7 @@
 ValueError: entry 9 follows 2
 """
 
-from typing import Optional
-
-from lifthinge.raft.messages import Entry, Kind, Roster, Snapshot
+from lifthinge.raft.messages import Entry, Roster, Snapshot
 from lifthinge.raft.node import Saved, Write
 
 
@@ -27,7 +25,7 @@
         self.snapshot, self.entries = Snapshot(), []
         self.roster = Roster()  # of a new cluster
 
-    def vote(self, term: int, voted: Optional[str]) -> None:
+    def vote(self, term: int, voted: str | None) -> None:
         if term < self.term:
             raise ValueError(f"term {term} follows {self.term}")
         self.term, self.voted = term, voted
--- a/lifthinge/raft/log.py
+++ b/lifthinge/raft/log.py
@@ -14,7 +14,7 @@
 (9, 4, [], (9, 4))
 """
 
-from typing import Iterable, Optional
+from collections.abc import Iterable
 
 from lifthinge.raft.messages import Entry, Kind, Roster, Snapshot, read_roster
 
@@ -56,7 +56,7 @@
         """Who the members were once this entry was applied."""
         return next(roster for at, roster in reversed(self.rosters) if at <= index)
 
-    def term_at(self, index: int) -> Optional[int]:
+    def term_at(self, index: int) -> int | None:
         """The term of an entry; None if it is not held, neither itself nor as the base."""
         if index == self.base[0]:
             return self.base[1]
@@ -74,7 +74,7 @@
                 low = middle + 1
         return low
 
-    def last_of_term(self, term: int) -> Optional[int]:
+    def last_of_term(self, term: int) -> int | None:
         """The last entry held of this term, None if there is none."""
         low, high = self.base[0], self.last_index
         while low < high:
--- a/lifthinge/raft/node.py
+++ b/lifthinge/raft/node.py
@@ -25,7 +25,6 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 from random import Random
-from typing import Optional, Union
 
 from blake3 import blake3
 
@@ -81,7 +80,7 @@
     """Refused at once: why, and who leads as far as is known."""
 
     why: Why
-    leader: Optional[str] = None
+    leader: str | None = None
 
 
 @dataclass(frozen=True)
@@ -103,7 +102,7 @@
     """What a member finds on its disk at the start; a new cluster's first members begin with a roster."""
 
     term: int = 0
-    voted: Optional[str] = None
+    voted: str | None = None
     snapshot: Snapshot = Snapshot()
     entries: tuple[Entry, ...] = ()
     roster: Roster = Roster()
@@ -115,10 +114,10 @@
 
     number: int
     term: int
-    voted: Optional[str]
+    voted: str | None
     voting: bool = False  # term or vote changed
-    snapshot: Optional[Snapshot] = None
-    cut: Optional[int] = None  # entries from here on are void
+    snapshot: Snapshot | None = None
+    cut: int | None = None  # entries from here on are void
     entries: list[Entry] = field(default_factory=list)
 
 
@@ -126,7 +125,7 @@
 class Out:
     sends: list[tuple[str, Message]] = field(default_factory=list)
     writes: list[Write] = field(default_factory=list)
-    applied: list[Union[Entry, Snapshot]] = field(default_factory=list)
+    applied: list[Entry | Snapshot] = field(default_factory=list)
     reads: list[tuple[object, int]] = field(
         default_factory=list
     )  # token, index to be applied first; -1: no
@@ -168,8 +167,8 @@
         self.reads: deque[_Read] = deque()
         self.beat_wanted = False  # reads wait for a round that has not begun
         self.asked: dict[int, object] = {}  # reads that went to the leader, by number
-        self.transfer: Optional[tuple[str, float]] = None
-        self.partial: Optional[tuple[InstallSnapshot, bytearray]] = None
+        self.transfer: tuple[str, float] | None = None
+        self.partial: tuple[InstallSnapshot, bytearray] | None = None
         self.elections = self.stepped_down = 0
         self._out, self._write = Out(), None
         self._number = self._durable = 0
@@ -219,7 +218,7 @@
             ReadReply: self._read_answered,
         }[kind](sender, message)
 
-    def propose(self, data: bytes, now: float) -> Union[int, Refused]:
+    def propose(self, data: bytes, now: float) -> int | Refused:
         """An entry for the state machine; its index, which counts only once it is applied in this term."""
         self.now = max(self.now, now)
         if self.role is not Role.LEADER:
@@ -235,7 +234,7 @@
             return Refused(Why.BUSY, self.name)
         return self._add(Kind.COMMAND, data)
 
-    def read(self, token: object, now: float) -> Optional[Refused]:
+    def read(self, token: object, now: float) -> Refused | None:
         """Asks up to where all must be applied so that what is read is true now; `Out.reads` answers."""
         self.now = max(self.now, now)
         if len(self.reads) + len(self.asked) >= self.pace.reads_most:
@@ -252,7 +251,7 @@
         self._send(self.leader, ReadIndex(self.term, number))
         return None
 
-    def change(self, name: str, address: Optional[str], now: float) -> Union[int, Refused]:
+    def change(self, name: str, address: str | None, now: float) -> int | Refused:
         """Adds a member, as a learner that gets its vote by itself once it has caught up; None removes one."""
         self.now = max(self.now, now)
         blocked, roster = self._change_blocked(), self.log.roster
@@ -272,7 +271,7 @@
         )
         return self._add(Kind.ROSTER, encode(new))
 
-    def hand_over(self, target: str, now: float) -> Optional[Refused]:
+    def hand_over(self, target: str, now: float) -> Refused | None:
         """Lets another voter lead once it holds all; nothing is proposed meanwhile, one election's time at most."""
         self.now = max(self.now, now)
         if self.role is not Role.LEADER:
@@ -285,7 +284,7 @@
         self._press_transfer()
         return None
 
-    def compact(self, index: int, data: bytes) -> Optional[Snapshot]:
+    def compact(self, index: int, data: bytes) -> Snapshot | None:
         """The state machine's state after the entry `index` stands for the log up to there."""
         if not self.log.snapshot.index < index <= self.applied:
             return None
@@ -373,7 +372,7 @@
             len(entries),
         )
 
-    def _change_blocked(self) -> Optional[Refused]:
+    def _change_blocked(self) -> Refused | None:
         """One server at a time, and not before an own entry is committed (dissertation 4.1; its 2015 erratum)."""
         if self.role is not Role.LEADER:
             return Refused(Why.NOT_LEADER, self.leader)
@@ -405,7 +404,7 @@
         rosters = self.log.rosters if self.log.roster_index > self.commit else self.log.rosters[-1:]
         return any(self.name in roster.voters for _, roster in rosters[-2:])
 
-    def _follow(self, term: int, leader: Optional[str]) -> None:
+    def _follow(self, term: int, leader: str | None) -> None:
         """Goes on as a follower, perhaps in a new term."""
         if self.role is Role.LEADER:
             self.stepped_down += 1
--- a/lifthinge/schema.py
+++ b/lifthinge/schema.py
@@ -1,6 +1,6 @@
 """What a schema finds wrong with data, as one fault: the key, and why, with the nearest name for one not known."""
 
-from typing import Any, NamedTuple, Union
+from typing import Any, NamedTuple
 
 from pydantic import BaseModel, ValidationError
 
@@ -34,7 +34,7 @@
     return Fault(key, f"unknown; did you mean {like}?" if like else "unknown")
 
 
-def _model_in(annotation: Any) -> Union[type[BaseModel], None]:
+def _model_in(annotation: Any) -> type[BaseModel] | None:
     """The model that a field's type is, or is a tuple, list or map of."""
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         return annotation
--- a/lifthinge/service/agreed.py
+++ b/lifthinge/service/agreed.py
@@ -1,7 +1,8 @@
 """The agreed document on its way to the decisions: ids become objects here, and `until` is watched."""
 
 import logging
-from typing import Any, Callable, Optional
+from collections.abc import Callable
+from typing import Any
 
 import msgspec
 
@@ -32,7 +33,7 @@
         keys: KeyFile,
     ) -> None:
         self.books, self.world, self.site, self.tell = books, world, site, tell
-        self.document: Optional[Document] = None
+        self.document: Document | None = None
         self._deadline: Any = None
         members = {member: split_address(address) for member, address in part.members.items()}
         self.follower = AgreedFollower(books, members, part.cluster, name, keys, self._told)
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -2,8 +2,9 @@
 
 import asyncio
 import logging
+from collections.abc import Awaitable, Callable, Coroutine, Iterable
 from dataclasses import replace
-from typing import Any, Awaitable, Callable, Coroutine, Iterable, Optional, Protocol
+from typing import Any, Protocol
 
 from lifthinge.interface import (
     ChannelState,
@@ -16,9 +17,9 @@
     Leased,
     Listing,
     Order,
+    OutStands,
     Phase,
     Probe,
-    OutStands,
     ProxyJoined,
     ProxyLeft,
     RepeatCall,
@@ -93,7 +94,7 @@
         )
         self.news = News(books, self.door, self.world, self.calls, place.relay, self._tell_news)
         self.discovery = Discovery(books, self.door, self.world, place.discovery, self._tell_list)
-        self.agreed: Optional[Agreement] = None
+        self.agreed: Agreement | None = None
         self.probes = Probes(books, self.door, self.world, lambda found: self.tell([found]))
         self.peers = Peers(
             books,
--- a/lifthinge/service/environment.py
+++ b/lifthinge/service/environment.py
@@ -1,8 +1,9 @@
 """What the environment and the configuration tell a controller of where it stands."""
 
 import json
+from collections.abc import Mapping
 from dataclasses import dataclass, fields
-from typing import Any, Mapping, Optional
+from typing import Any
 
 from lifthinge.interface import SiteTerms
 from lifthinge.terms import BadTerms, SiteMap, read_map, read_terms
@@ -31,9 +32,9 @@
     listen: Address
     discovery: Address
     relay: Address
-    peer_listen: Optional[Address]
+    peer_listen: Address | None
     peers: tuple[Address, ...]
-    peers_all: Optional[Address]
+    peers_all: Address | None
     seed: int
     sockets: int
     memory_mb: float
--- a/lifthinge/service/run.py
+++ b/lifthinge/service/run.py
@@ -6,8 +6,9 @@
 import resource
 import signal
 import time
+from collections.abc import Callable
 from random import Random
-from typing import TYPE_CHECKING, Callable, Optional
+from typing import TYPE_CHECKING, Optional
 
 from lifthinge.choice import Choice
 from lifthinge.memory.books import Books
--- a/lifthinge/store/records.py
+++ b/lifthinge/store/records.py
@@ -17,7 +17,8 @@
 """
 
 import struct
-from typing import Iterator, NamedTuple, Union
+from collections.abc import Iterator
+from typing import NamedTuple
 
 import crc32c
 
@@ -45,7 +46,7 @@
     return _HEAD.pack(len(data), crc32c.crc32c(data, crc32c.crc32c(head)), kind, durable) + data
 
 
-def read(view: bytes, at: int) -> Union[Record, None]:
+def read(view: bytes, at: int) -> Record | None:
     """The record that begins here, None if it is not whole and sound."""
     if at + HEAD > len(view):
         return None
@@ -66,7 +67,7 @@
         record = read(view, record.at + HEAD + len(record.data))
 
 
-def end_of(view: bytes, start: int) -> Union[int, Spoilt]:
+def end_of(view: bytes, start: int) -> int | Spoilt:
     """Where the sound records end: the tail after that is torn, or else what lies there is spoilt."""
     end = start
     for record in scan(view, start):
--- a/lifthinge/store/store.py
+++ b/lifthinge/store/store.py
@@ -19,9 +19,9 @@
 """
 
 import struct
+from collections.abc import Iterable
 from dataclasses import dataclass
-from pathlib import Path
-from typing import Iterable, Union
+from typing import Union
 
 import crc32c
 
@@ -53,7 +53,7 @@
 class Found:
     """What a folder holds, read without changing it."""
 
-    snapshot: Union[bytes, None]
+    snapshot: bytes | None
     first: int  # segment after the snapshot
     last: int
     records: list[tuple[int, bytes]]
@@ -79,7 +79,7 @@
     return form.pack(magic, _FORMAT, first, second, check)
 
 
-def _snapshot(name: str, view: bytes, number: int) -> Union[bytes, Damage]:
+def _snapshot(name: str, view: bytes, number: int) -> bytes | Damage:
     if len(view) < _SNAPSHOT.size:
         return Damage(name, len(view), "a snapshot without its head")
     magic, form, first, length, _ = _SNAPSHOT.unpack_from(view)
@@ -95,7 +95,7 @@
     return data
 
 
-def survey(files: Files) -> Union[Found, Damage]:
+def survey(files: Files) -> Found | Damage:
     """Reads a folder as it stands; changes nothing."""
     names = files.names()
     snapshots, segments = _numbers(names, "snapshot"), _numbers(names, "log")
--- a/lifthinge/wire/client.py
+++ b/lifthinge/wire/client.py
@@ -1,7 +1,8 @@
 """Calls over HTTP/1.1: one at a time on a connection that is kept while it is fresh."""
 
 import asyncio
-from typing import Callable, NamedTuple, Optional, Union
+from collections.abc import Callable
+from typing import NamedTuple, Union
 
 from lifthinge.memory.attempts import Cause, Failure, Reach
 from lifthinge.memory.books import Books, Request
@@ -48,7 +49,7 @@
         super().__init__(books, BODY_MOST + HEAD_MOST)
         self.kind = kind
         self.parser = AnswerParser(self.buffer)
-        self._request: Optional[int] = None
+        self._request: int | None = None
         self.used_at = books.now
 
     def ask(self, data: bytes, wait: float) -> "asyncio.Future[Result]":
@@ -131,7 +132,7 @@
 
     def __init__(self, books: Books, kind: str, where: tuple[str, int]) -> None:
         self.books, self.kind, self.where = books, kind, where
-        self._kept: Optional[HttpConnection] = None
+        self._kept: HttpConnection | None = None
         self._kept_where = where
 
     async def call(self, request: Callable[[tuple[str, int]], bytes], wait: float) -> Result:
--- a/lifthinge/wire/collectors.py
+++ b/lifthinge/wire/collectors.py
@@ -2,8 +2,8 @@
 
 import asyncio
 import socket
+from collections.abc import Callable
 from enum import Enum
-from typing import Callable, Optional
 
 from lifthinge.interface import Event
 from lifthinge.memory.books import Books
@@ -43,7 +43,7 @@
         self.state, self.zone = State.STRANGER, -1
         self.owes_beat = False
         self._overdue = False  # it stays only for the sign of life that is owed
-        self._deadline: Optional[Deadline] = None
+        self._deadline: Deadline | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -101,7 +101,7 @@
             self.transport.close()
             self._deadline = self.books.deadlines.set(PARTING, self.abort)
 
-    def _use(self, message: dict) -> Optional[Skip]:
+    def _use(self, message: dict) -> Skip | None:
         kind = message.get(names.KIND)
         if kind == names.BEAT:
             self.books.counters.add("beats.asked")
@@ -162,7 +162,7 @@
         self.books, self.door, self.most, self.ready, self.tell = books, door, most, ready, tell
         self._strangers: dict[Reporter, None] = {}  # oldest first
         self._joined: dict[Reporter, None] = {}
-        self._server: Optional[asyncio.Server] = None
+        self._server: asyncio.Server | None = None
 
     async def open(self, where: tuple[str, int]) -> None:
         """Listens; a turn of the loop takes in few, so that those it lets go have left before the next."""
--- a/lifthinge/wire/connection.py
+++ b/lifthinge/wire/connection.py
@@ -2,7 +2,8 @@
 
 import asyncio
 import logging
-from typing import Callable, Optional, TypeVar, Union
+from collections.abc import Callable
+from typing import TypeVar
 
 from lifthinge.memory.attempts import Cause, Failure, Reach
 from lifthinge.memory.books import Books
@@ -21,8 +22,8 @@
 
     def __init__(self, books: Books, limit: int, first: int = 4096) -> None:
         self.books, self.buffer = books, Buffer(limit, first)
-        self.transport: Optional[asyncio.Transport] = None
-        self.handle: Optional[int] = None
+        self.transport: asyncio.Transport | None = None
+        self.handle: int | None = None
         self.unsent = False  # bytes of ours have not left
         self.lost = False
         self.heard_at = books.now
@@ -61,7 +62,7 @@
         self._guard(self.ended)
         return False
 
-    def connection_lost(self, error: Optional[Exception]) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         self.lost = True
         if self.handle is not None:
             self.books.connections.free(self.handle)
@@ -100,7 +101,7 @@
 C = TypeVar("C", bound=Connection)
 
 
-async def connect(books: Books, make: Callable[[], C], where: tuple[str, int]) -> Union[C, Failure]:
+async def connect(books: Books, make: Callable[[], C], where: tuple[str, int]) -> C | Failure:
     """A connection that is up, or why there is none."""
     loop = asyncio.get_running_loop()
     task = loop.create_task(loop.create_connection(make, *where))
--- a/lifthinge/wire/discovery.py
+++ b/lifthinge/wire/discovery.py
@@ -1,8 +1,8 @@
 """Discovery: the whole list, then watches without a gap; only differences are told."""
 
 import logging
+from collections.abc import Callable
 from dataclasses import replace
-from typing import Callable, Optional
 
 from lifthinge.interface import FleetNews, Form, Listing, Phase
 from lifthinge.memory.attempts import Cause, Failure, Reach
@@ -89,7 +89,7 @@
             watch.close()
             self._watches = [one for one in self._watches if one is not watch]
 
-    def _end_before(self, watch: Optional[Caller]) -> None:
+    def _end_before(self, watch: Caller | None) -> None:
         """A newer address has told its list: the watches at former ones are over."""
         while self._watches and self._watches[0] is not watch:
             self._watches.pop(0).close()
@@ -99,7 +99,7 @@
         if await self._call(self._list, False) is not None:
             self.tell(FleetNews(Form.MISSED, []))
 
-    async def _call(self, caller: Caller, since: bool, wait: int = WATCH_WAIT) -> Optional[Failure]:
+    async def _call(self, caller: Caller, since: bool, wait: int = WATCH_WAIT) -> Failure | None:
         path = names.LIST_PATH + (
             f"?{names.SINCE}={self.world.version}&{names.WAIT}={wait}" if since else ""
         )
@@ -123,7 +123,7 @@
             )
         return result
 
-    def known(self, message: dict) -> Optional[Skip]:
+    def known(self, message: dict) -> Skip | None:
         """Takes the list that this controller last held, maybe out of date."""
         found = self.door.version(message)
         if isinstance(found, Skip):
@@ -134,7 +134,7 @@
         self.tell(FleetNews(Form.CACHED, listings))
         return None
 
-    def _take(self, message: dict, first: bool) -> Optional[Skip]:
+    def _take(self, message: dict, first: bool) -> Skip | None:
         """Takes a list or its changes; the first answer of a subscription is told though nothing changed.
 
         A list older than the one held may come from an agent that is behind, or that counts anew: it is
@@ -191,7 +191,7 @@
                 listings.append(listing)
         return listings, named
 
-    def _leaving(self, entry: object) -> Optional[Listing]:
+    def _leaving(self, entry: object) -> Listing | None:
         """A backend that is listed, as an entry that is spoilt elsewhere has it drain or gone."""
         found = self.door.leaving(entry)
         former = None if isinstance(found, Skip) else self.world.listed.get(found[0])
--- a/lifthinge/wire/door.py
+++ b/lifthinge/wire/door.py
@@ -1,7 +1,8 @@
 """The door: ids, names and units of the sockets to the decisions' types, and back."""
 
 import ipaddress
-from typing import Any, Callable, Union
+from collections.abc import Callable
+from typing import Any
 
 from lifthinge.interface import (
     Backend,
@@ -164,14 +165,14 @@
             },
         }
 
-    def zone(self, message: dict[str, Any]) -> Union[int, Skip]:
+    def zone(self, message: dict[str, Any]) -> int | Skip:
         return self._guard(lambda: Fields(message).place(names.ZONE, self.site.zones))
 
-    def report(self, message: dict[str, Any]) -> Union[Event, Skip]:
+    def report(self, message: dict[str, Any]) -> Event | Skip:
         """What a collector passed on."""
         return self._read(self._reports, message.get(names.KIND), message)
 
-    def news(self, message: dict[str, Any], stands: bool) -> Union[Event, Skip]:
+    def news(self, message: dict[str, Any], stands: bool) -> Event | Skip:
         """What the relay told; of what `stands`, a proxy may leave of which nothing was told before."""
         event = self._read(self._news, message.get(names.NEWS_KIND), message.get(names.NEWS_FIELDS))
         of_joined = isinstance(event, (ProxyLeft, SealConfirmed)) and not stands
@@ -179,11 +180,11 @@
             return Skip("the proxy has not joined")
         return event
 
-    def listing(self, entry: Any) -> Union[Listing, Skip]:
+    def listing(self, entry: Any) -> Listing | Skip:
         """One entry of the list; its address is noted."""
         return self._guard(lambda: self._listing(Fields(entry)))
 
-    def leaving(self, entry: Any) -> Union[tuple[Backend, Phase], Skip]:
+    def leaving(self, entry: Any) -> tuple[Backend, Phase] | Skip:
         """Of an entry that can't be used as a whole: the backend, if that is to go."""
 
         def read() -> tuple[Backend, Phase]:
@@ -197,7 +198,7 @@
 
         return self._guard(read)
 
-    def version(self, answer: dict[str, Any]) -> Union[tuple[int, bool, list], Skip]:
+    def version(self, answer: dict[str, Any]) -> tuple[int, bool, list] | Skip:
         """The version of a list, whether it is whole, and its entries."""
 
         def read() -> tuple[int, bool, list]:
@@ -217,7 +218,7 @@
 
     def _read(
         self, readers: dict[str, Callable[[Fields], Event]], kind: Any, fields: Any
-    ) -> Union[Event, Skip]:
+    ) -> Event | Skip:
         reader = readers.get(kind) if isinstance(kind, str) else None
         return self._guard(lambda: reader(Fields(fields))) if reader else Skip("unknown kind")
 
--- a/lifthinge/wire/frames.py
+++ b/lifthinge/wire/frames.py
@@ -15,7 +15,7 @@
 """
 
 import json
-from typing import Any, NamedTuple, Union
+from typing import Any, NamedTuple
 
 from lifthinge.wire.buffer import Buffer
 
@@ -42,7 +42,7 @@
     return len(body).to_bytes(4, "big") + body
 
 
-def read_object(text: bytes) -> Union[dict, Skip]:
+def read_object(text: bytes) -> dict | Skip:
     """One JSON object out of untrusted bytes."""
     try:
         found = json.loads(text)
@@ -51,7 +51,7 @@
     return found if isinstance(found, dict) else Skip("not an object")
 
 
-def read_frame(buffer: Buffer) -> Union[dict, Lost, Skip, None]:
+def read_frame(buffer: Buffer) -> dict | Lost | Skip | None:
     """The next message; None until it has come whole. One that the buffer will never hold is lost at once."""
     if len(buffer) < 4:
         return None
--- a/lifthinge/wire/http.py
+++ b/lifthinge/wire/http.py
@@ -54,7 +54,6 @@
 
 import re
 from enum import Enum
-from typing import Optional
 
 from lifthinge.wire.buffer import Buffer
 
@@ -92,7 +91,7 @@
     def done(self) -> bool:
         return self.state is State.DONE
 
-    def advance(self) -> Optional[str]:
+    def advance(self) -> str | None:
         """Reads as far as the buffer goes."""
         while not self.done:
             before = self.state, self.body, self._head, len(self.buffer)
@@ -103,7 +102,7 @@
                 return "answer too long" if self.buffer.full else None
         return "bytes after the answer" if len(self.buffer) > self.body else None
 
-    def ended(self) -> Optional[str]:
+    def ended(self) -> str | None:
         """The peer sends no more."""
         if self.state is State.TO_CLOSE:
             self.state = State.DONE
@@ -113,7 +112,7 @@
         taken, self.body = self.buffer.take(self.body), 0
         return taken
 
-    def take_line(self) -> Optional[bytes]:
+    def take_line(self) -> bytes | None:
         """The next whole line of the body, without its end."""
         at = self.buffer.find(b"\n")
         if not 0 <= at < self.body:
@@ -121,7 +120,7 @@
         self.body -= at + 1
         return self.buffer.take(at + 1)[:-1].rstrip(b"\r")
 
-    def _step(self) -> Optional[str]:
+    def _step(self) -> str | None:
         if self.state in (State.COUNTED, State.CHUNK, State.TO_CLOSE):
             return self._read_body()
         line = self._line()
@@ -147,7 +146,7 @@
             self.state = State.DONE
         return None
 
-    def _line(self) -> Optional[bytes]:
+    def _line(self) -> bytes | None:
         at = self.buffer.find(b"\n", self.body)
         if at < 0:
             return None
@@ -155,7 +154,7 @@
         self.buffer.cut(self.body, at + 1 - self.body)
         return line.removesuffix(b"\r")
 
-    def _read_head(self, line: bytes) -> Optional[str]:
+    def _read_head(self, line: bytes) -> str | None:
         if not self.status:
             found = _STATUS.fullmatch(line)
             if not found:
@@ -176,7 +175,7 @@
             self.keep = False
         return None
 
-    def _end_head(self) -> Optional[str]:
+    def _end_head(self) -> str | None:
         if self.status < 200:  # an interim answer: the real one follows
             self.status = self._head = 0
             self._lengths, self._coding = set(), b""
@@ -198,7 +197,7 @@
         self.state = State.COUNTED if self._left else State.DONE
         return "body too long" if self._left > BODY_MOST else None
 
-    def _read_size(self, line: bytes) -> Optional[str]:
+    def _read_size(self, line: bytes) -> str | None:
         found = _CHUNK.fullmatch(line)
         if not found:
             return "bad chunk size"
@@ -206,7 +205,7 @@
         self.state = State.CHUNK if self._left else State.TRAILER
         return "body too long" if self.body + self._left > BODY_MOST else None
 
-    def _read_body(self) -> Optional[str]:
+    def _read_body(self) -> str | None:
         here = len(self.buffer) - self.body
         if self.state is State.TO_CLOSE:
             self.body += here
--- a/lifthinge/wire/news.py
+++ b/lifthinge/wire/news.py
@@ -5,7 +5,7 @@
 """
 
 import asyncio
-from typing import Callable, Optional
+from collections.abc import Callable
 
 from lifthinge.interface import Event, Leased, SealConfirmed, StoredLine
 from lifthinge.memory.attempts import Cause, Failure, Reach
@@ -34,8 +34,8 @@
     ) -> None:
         super().__init__(books, "relay_news")
         self._line = line
-        self._silence: Optional[Deadline] = None
-        self.stand: Optional[Stand] = stand  # until what stands has been told
+        self._silence: Deadline | None = None
+        self.stand: Stand | None = stand  # until what stands has been told
         self.trouble: asyncio.Future[Failure] = asyncio.get_running_loop().create_future()
 
     def open(self, data: bytes) -> None:
@@ -86,10 +86,10 @@
         self.books, self.door, self.world, self.calls, self.where = books, door, world, calls, where
         self.tell = tell
         self.stood = False  # ever heard what stands
-        self._live: Optional[NewsConnection] = None  # the one that is listened to
-        self._latest: Optional[NewsConnection] = None  # the last one opened, until it gives way
+        self._live: NewsConnection | None = None  # the one that is listened to
+        self._latest: NewsConnection | None = None  # the last one opened, until it gives way
         self._given: dict[object, list[Event]] = {}  # slices just given, with their lines so far
-        self._given_over: Optional[Deadline] = None
+        self._given_over: Deadline | None = None
 
     async def run(self) -> None:
         failures = 0
@@ -109,7 +109,7 @@
                     RETRY_LEAST + self.books.dice.random() * (RETRY_MOST - RETRY_LEAST)
                 )
 
-    def renew(self, where: Optional[tuple[str, int]] = None, why: Cause = Cause.RENEWED) -> None:
+    def renew(self, where: tuple[str, int] | None = None, why: Cause = Cause.RENEWED) -> None:
         """Has what stands told again, maybe elsewhere; the stream so far is heard until that is done."""
         self.where = where or self.where
         if self._latest:
--- a/lifthinge/wire/peers.py
+++ b/lifthinge/wire/peers.py
@@ -1,7 +1,7 @@
 """Datagrams between controllers of one tier."""
 
 import asyncio
-from typing import Callable, Optional
+from collections.abc import Callable
 
 from lifthinge.interface import PeerNote
 from lifthinge.memory.books import Books
@@ -16,7 +16,7 @@
         self,
         books: Books,
         peers: list[tuple[str, int]],
-        everyone: Optional[tuple[str, int]],
+        everyone: tuple[str, int] | None,
         own: int,
         tell: Callable[[PeerNote], None],
     ) -> None:
@@ -28,7 +28,7 @@
             tell,
         )
         self._numbers = {where: number for number, where in enumerate(peers)}
-        self._transport: Optional[asyncio.DatagramTransport] = None
+        self._transport: asyncio.DatagramTransport | None = None
 
     async def open(self, where: tuple[str, int]) -> None:
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, local_addr=where)
@@ -37,7 +37,7 @@
         if self._transport:
             self._transport.close()
 
-    def send(self, peer: Optional[int], content: bytes) -> None:
+    def send(self, peer: int | None, content: bytes) -> None:
         """To one peer, or to all others; what is too long is not sent."""
         if (
             self._transport is None
--- a/lifthinge/wire/probes.py
+++ b/lifthinge/wire/probes.py
@@ -2,7 +2,7 @@
 
 import asyncio
 import re
-from typing import Callable, Union
+from collections.abc import Callable
 
 from lifthinge.interface import Backend, Outcome, ProbeResult
 from lifthinge.memory.attempts import Cause, Failure
@@ -58,7 +58,7 @@
         self.tell(ProbeResult(backend, outcome(result), self.books.now - began, load))
 
 
-def outcome(result: Union[Answer, Failure]) -> Outcome:
+def outcome(result: Answer | Failure) -> Outcome:
     """
     >>> [outcome(Answer(status, b"")).value for status in (200, 503, 500)]
     ['ok', 'pushed_back', 'aborted']
--- a/lifthinge/wire/relay.py
+++ b/lifthinge/wire/relay.py
@@ -7,7 +7,7 @@
 
 import asyncio
 import json
-from typing import Callable, Iterable, Optional
+from collections.abc import Callable, Iterable
 
 from lifthinge.interface import Order
 from lifthinge.memory.attempts import Cause, Failure
--- a/lifthinge/wirehost/codec.py
+++ b/lifthinge/wirehost/codec.py
@@ -17,7 +17,8 @@
 """
 
 import struct
-from typing import BinaryIO, Iterator, Optional
+from collections.abc import Iterator
+from typing import BinaryIO
 
 
 class BadFrame(Exception):
@@ -72,7 +73,7 @@
 _UNITS = {"S": 1, "s": 1, "L": ROW.size, "F": 4}
 
 
-def read_frame(source: BinaryIO) -> Optional[bytes]:
+def read_frame(source: BinaryIO) -> bytes | None:
     """The content of the next frame, after its length; None at the end of input."""
     head = source.read(4)
     if not head:
--- a/lifthinge/wirehost/translate.py
+++ b/lifthinge/wirehost/translate.py
@@ -2,7 +2,8 @@
 
 import json
 import math
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 from lifthinge.interface import (
     Backend,
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -5,8 +5,8 @@
 import logging
 import sys
 import time
+from collections.abc import Callable
 from pathlib import Path
-from typing import Callable
 
 from tests import check_capture, check_members, check_raft, check_store
 from tests.play.cluster import ClusterStage
--- a/tests/check_capture.py
+++ b/tests/check_capture.py
@@ -5,13 +5,12 @@
 import zlib
 from pathlib import Path
 from random import Random
-from typing import Optional
 
 import msgspec
 
 from lifthinge import choice as choice_module
-from lifthinge.capture.anonymise import Names, anonymised
 from lifthinge.capture.against import Against, load_text
+from lifthinge.capture.anonymise import Names, anonymised
 from lifthinge.capture.capture import Capture
 from lifthinge.capture.codec import Unreadable
 from lifthinge.capture.segments import BLOCK, HEAD, NoCapture, SegmentWriter, read_segment, segments
@@ -105,7 +104,7 @@
             super().tell(*events)
 
     class InStep:
-        def put(self, records: Optional[list]) -> None:
+        def put(self, records: list | None) -> None:
             writer.write(records or [])
             played.choice._written.append(len(records or []))
 
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -15,8 +15,8 @@
 from lifthinge.cluster.keys import KeyFile, Keys, read_keys
 from lifthinge.cluster.link import Link
 from lifthinge.cluster.member import MemberServer, Seat
-from lifthinge.cluster.sealing import FORM, HEAD, Hello, Opener, Sealer, read_hello, sign, talk_of
-from lifthinge.raft.messages import Member, Roster, TimeoutNow, encode
+from lifthinge.cluster.sealing import FORM, HEAD, Hello, Sealer, read_hello, sign, talk_of
+from lifthinge.raft.messages import Member, Roster
 from lifthinge.raft.node import Pace
 from lifthinge.service.run import make_books
 from lifthinge.store.files import Files
@@ -249,6 +249,7 @@
 def check_document_reaches_decisions() -> None:
     """What is agreed comes to the controller as `ByHand`, in its own objects, and `until` ends it by itself."""
     from types import SimpleNamespace
+
     from lifthinge.memory.world import World
     from lifthinge.operators import AgreedPart
     from lifthinge.service.agreed import AgreedDoor
--- a/tests/check_raft.py
+++ b/tests/check_raft.py
@@ -1,6 +1,7 @@
 """The protocol under chance: Hypothesis steps, random walks, and the faults that the same checks must find."""
 
-from hypothesis import HealthCheck, settings, strategies as st
+from hypothesis import HealthCheck, settings
+from hypothesis import strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
     initialize,
--- a/tests/play/network.py
+++ b/tests/play/network.py
@@ -11,28 +11,21 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable, Iterable
 from dataclasses import fields, replace
 from enum import Enum
 from random import Random
 from types import SimpleNamespace
-from typing import Callable, Iterable, Optional
 
 from lifthinge import interface
 from lifthinge.interface import (
     Backend,
     ChannelState,
     FleetNews,
-    Form,
     Leased,
-    Listing,
-    Phase,
     Proxy,
-    RepeatCall,
     Retry,
-    Seal,
-    SetLevel,
     SetLine,
-    ShutOut,
     Slice,
     StoredLine,
 )
@@ -206,8 +199,8 @@
         self.inbound: dict[str, list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]] = {}
         self.sockets: list[socket.socket] = []
         self.udp: list[socket.socket] = []
-        self.controller: Optional[Controller] = None
-        self.program: Optional[asyncio.subprocess.Process] = None
+        self.controller: Controller | None = None
+        self.program: asyncio.subprocess.Process | None = None
         self.address: tuple[str, int] = ("", 0)
         self.files: list[str] = []
         self.body = b""
@@ -500,7 +493,7 @@
     async def peer_asked(self, party: str, name: str, *words: str) -> None:
         peer, path = self.parties[party], PATHS[party]
 
-        def first() -> Optional[tuple]:
+        def first() -> tuple | None:
             return next((one for one in peer.asked if one[0].startswith(path)), None)
 
         await self._until(first, lambda: "nothing was asked")
