--- a/lifthinge/cluster/disk.py
+++ b/lifthinge/cluster/disk.py
@@ -1,6 +1,7 @@
 """A member's disk: the protocol's writes as records of the store, many to one sync, off the loop.
 
 >>> import tempfile
+>>> from pathlib import Path
 >>> from lifthinge.raft.messages import Entry, Kind
 >>> files = Files(Path(tempfile.mkdtemp()))
 >>> disk = open_disk(files)
--- a/lifthinge/raft/image.py
+++ b/lifthinge/raft/image.py
@@ -1,5 +1,6 @@
 """What a member's disk holds, from the writes or the records that went there in their order.
 
+>>> from lifthinge.raft.messages import Kind
 >>> image = Image()
 >>> image.take(Write(1, 2, "b", voting=True, entries=[Entry(1, 1, Kind.EMPTY), Entry(2, 1, Kind.COMMAND, b"x")]))
 >>> image.take(Write(2, 3, None, voting=True, cut=2, entries=[Entry(2, 3, Kind.EMPTY)]))
--- a/lifthinge/store/store.py
+++ b/lifthinge/store/store.py
@@ -6,6 +6,7 @@
 before it is refused, with file and offset. The store is used by one thread at a time and by one process.
 
 >>> import tempfile
+>>> from pathlib import Path
 >>> files = Files(Path(tempfile.mkdtemp()) / "s")
 >>> store = Store.open(files); store.append(1, b"a"); store.append(2, b"b"); store.sync(); store.close()
 >>> store = Store.open(files); store.found, store.snapshot
