--- a/lifthinge/capture/against.py
+++ b/lifthinge/capture/against.py
@@ -14,6 +14,7 @@
 
 from lifthinge.capture.turns import Replay
 from lifthinge.interface import Event, Order, Say, Wake
+from lifthinge.outer_names import outer_name
 
 MODULE = "lifthinge/choice.py"
 QUIET = (Say, Wake)  # orders that change nothing outside
@@ -76,8 +77,8 @@
                 [order for order in played.orders if not isinstance(order, QUIET)]
                 for played in (self._one, self._other)
             )
-            self.ours.update(type(order).__name__ for order in ours)
-            self.theirs.update(type(order).__name__ for order in theirs)
+            self.ours.update(outer_name(type(order)) for order in ours)
+            self.theirs.update(outer_name(type(order)) for order in theirs)
             if self._one.coder.plain(ours) != self._other.coder.plain(theirs):
                 self.parted += 1
                 self.first = self.first or Parting(record[1], self._one.events, ours, theirs)
--- a/lifthinge/capture/codec.py
+++ b/lifthinge/capture/codec.py
@@ -1,8 +1,8 @@
 """Events, orders and the whole decision state as plain values, and back: explicit, versioned, without pickle.
 
-Backends, slices and proxies become numbers, named once by a definition; what else there may be is listed in `KINDS`
-and `HOLDERS`, with its fields in their order. A type that is in neither is an error when it is met, not when it is
-needed.
+Backends, slices and proxies become numbers, named once by a definition; what else there may be is listed in
+`lifthinge.outer_names`, with its fields in their order. A type that is not listed there is an error when it is met,
+not when it is needed.
 
 >>> from lifthinge.interface import Backend, Slice, SetLine
 >>> one = Coder(); line = SetLine(Slice(3), Backend("s-a", "s-a"), 0.5)
@@ -28,61 +28,11 @@
 from typing import Any
 
 from lifthinge import interface
-from lifthinge.channel import Channel
 from lifthinge.choice import Choice
-from lifthinge.histogram import Histogram
 from lifthinge.interface import Backend, Proxy, Slice
-from lifthinge.lowest import Lowest
+from lifthinge.outer_names import ENUMS, HOLDERS, KINDS, STATE, outer_name
 
 FORM = 2  # of the plain values; another form is not read
-_EVENTS = (
-    interface.ByHand,
-    interface.FleetNews,
-    interface.TimerDue,
-    interface.ProbeResult,
-    interface.PeerNote,
-    interface.ProxyJoined,
-    interface.ProxyLeft,
-    interface.TriesReport,
-    interface.ProxyLoad,
-    interface.SliceHeat,
-    interface.Leased,
-    interface.StoredLine,
-    interface.SealConfirmed,
-    interface.ChannelState,
-    interface.OutStands,
-)
-_ORDERS = (
-    interface.SetLine,
-    interface.ClearTable,
-    interface.BindProxy,
-    interface.ShutOut,
-    interface.SetLevel,
-    interface.Seal,
-    interface.Wake,
-    interface.Probe,
-    interface.TellPeers,
-    interface.Say,
-    interface.FollowList,
-    interface.FetchList,
-    interface.RepeatCall,
-    interface.Forget,
-)
-KINDS: dict[str, tuple[type, tuple[str, ...]]] = {
-    kind.__name__: (kind, tuple(one.name for one in fields(kind)))
-    for kind in (*_EVENTS, *_ORDERS, interface.Listing, interface.Method, interface.SiteTerms)
-}
-ENUMS = {
-    kind.__name__: kind
-    for kind in (interface.Phase, interface.Form, interface.Outcome, interface.Retry)
-}
-HOLDERS: dict[
-    str, tuple[type, tuple[str, ...]]
-] = {  # made without their initialiser, field by field
-    "Histogram": (Histogram, Histogram.__slots__),
-    "Lowest": (Lowest, Lowest.__slots__),
-    "Channel": (Channel, Channel.__slots__),
-}
 NAMED: dict[
     str, tuple[type, str, tuple[str, ...]]
 ] = {  # tag: kind, what it is known by, what the adapter sets
@@ -90,7 +40,7 @@
     "s": (Slice, "number", ()),
     "p": (Proxy, "number", ("zone", "size", "bound")),
 }
-# Of a `Choice`; `notes` is made anew, and `terms` stands in the head.
+# Attributes of a `Choice` that are not written; `notes` is made anew, and `terms` stands in the head.
 SKIPPED = ("notes", "terms")
 _BARE = frozenset((type(None), bool, int, float, str, bytes))
 _OBJECTS = frozenset((Backend, Slice, Proxy))
@@ -103,7 +53,8 @@
     return (lambda value: (getattr(value, names[0]),)) if names else (lambda value: ())
 
 
-_READ = {kind: (name, _reader(names)) for name, (kind, names) in KINDS.items()}
+_READ = {kind.type: (name, _reader(tuple(kind.fields.values()))) for name, kind in KINDS.items()}
+_READ_HOLDER = {kind: (name, _reader(names)) for name, (kind, names) in HOLDERS.items()}
 
 
 class Unreadable(Exception):
@@ -149,14 +100,14 @@
         if kind is dict:
             return ["d", *(self.plain(one) for pair in value.items() for one in pair)]
         if isinstance(value, Enum):
-            return ["e", kind.__name__, value.value]
+            return ["e", outer_name(kind), value.value]
         if kind is Random:
             version, state, gauss = value.getstate()
             return ["r", version, list(state), gauss]
-        name = kind.__name__
-        if name in HOLDERS:
-            return ["h", name, *(self.plain(getattr(value, one)) for one in HOLDERS[name][1])]
-        raise TypeError(f"{name} has no plain form")
+        if kind in _READ_HOLDER:
+            name, read = _READ_HOLDER[kind]
+            return ["h", name, *map(self.plain, read(value))]
+        raise TypeError(f"{kind.__name__} has no plain form")
 
     def _number(self, one: Any) -> list:
         if one not in self._numbers:
@@ -215,7 +166,7 @@
             dice.setstate((rest[0], tuple(rest[1]), rest[2]))
             return dice
         if tag == "o" and rest[0] in KINDS:
-            return KINDS[rest[0]][0](*map(self.object, rest[1:]))
+            return KINDS[rest[0]].type(*map(self.object, rest[1:]))
         if tag == "h" and rest[0] in HOLDERS:
             kind, names = HOLDERS[rest[0]]
             return self._filled(kind, names, rest[1:])
@@ -231,9 +182,10 @@
 
     def export(self, choice: Choice) -> list:
         """All that an instance will ever decide by: what it keeps itself, and what it keeps on the objects it knows."""
-        own = {
-            name: self.plain(value) for name, value in vars(choice).items() if name not in SKIPPED
-        }
+        unnamed = vars(choice).keys() - set(STATE.values()) - set(SKIPPED)
+        if unnamed:
+            raise TypeError(f"decision state without an outer name: {', '.join(sorted(unnamed))}")
+        own = {name: self.plain(getattr(choice, attribute)) for name, attribute in STATE.items()}
         kept, done = [], 0
         while done < len(self._numbers):  # objects name further objects
             for one in list(self._numbers)[done:]:
@@ -257,10 +209,10 @@
             one = self._objects[tag, number]
             for field, value in zip(fields(one), values, strict=True):
                 setattr(one, field.name, self.object(value))
-        known = {name for name in vars(choice) if name not in SKIPPED}
+        known = {name for name, attribute in STATE.items() if attribute in vars(choice)}
         if kind is Choice and known != set(own):
             raise Unreadable(f"a keyframe of another text: {', '.join(sorted(known ^ set(own)))}")
         for name, value in own.items():
             if name in known:
-                setattr(choice, name, self.object(value))
+                setattr(choice, STATE[name], self.object(value))
         return choice
--- a/lifthinge/capture/words.py
+++ b/lifthinge/capture/words.py
@@ -10,8 +10,10 @@
 from enum import Enum
 from typing import Any
 
-from lifthinge.capture.codec import KINDS
 from lifthinge.interface import Backend, Proxy, Slice
+from lifthinge.outer_names import KINDS, outer_name
+
+_TYPES = frozenset(kind.type for kind in KINDS.values())
 
 
 def words(one: Any) -> str:
@@ -28,9 +30,15 @@
         return "[" + ", ".join(map(words, one)) + "]"
     if isinstance(one, dict):
         return "{" + ", ".join(f"{words(key)}: {words(value)}" for key, value in one.items()) + "}"
-    name = type(one).__name__
-    if name in KINDS:
+    if type(one) in _TYPES:
+        name = outer_name(type(one))
         return " ".join(
-            [name, *(f"{field}={words(getattr(one, field))}" for field in KINDS[name][1])]
+            [
+                name,
+                *(
+                    f"{field}={words(getattr(one, attribute))}"
+                    for field, attribute in KINDS[name].fields.items()
+                ),
+            ]
         )
     return str(one)
--- a/lifthinge/lab/capturebench.py
+++ b/lifthinge/lab/capturebench.py
@@ -36,6 +36,7 @@
     TriesReport,
 )
 from lifthinge.memory.counters import Counters
+from lifthinge.outer_names import KINDS, outer_name
 
 EVERY = 500.0  # ms between turns with reports
 TERMS = SiteTerms(
@@ -155,15 +156,15 @@
                 size += len(
                     json.dumps(
                         {
-                            "event": type(event).__name__,
+                            "event": outer_name(type(event)),
                             "at": record[1],
                             **{
                                 name: getattr(value, "ep", getattr(value, "number", None))
                                 if isinstance(
-                                    value := getattr(event, name), (Backend, Slice, Proxy)
+                                    value := getattr(event, attribute), (Backend, Slice, Proxy)
                                 )
                                 else str(value)
-                                for name in event.__slots__
+                                for name, attribute in KINDS[outer_name(type(event))].fields.items()
                             },
                         }
                     )
--- /dev/null
+++ b/lifthinge/outer_names.py
@@ -0,0 +1,125 @@
+"""The names under which types, fields and decision attributes leave the process.
+
+Captures, replays, counters and scenarios use these outer names. They stay as they are when a Python
+name changes: only the class or the attribute beside an outer name follows a rename, written as
+`OUTER=ATTRIBUTE` where the two differ. The order of fields and of state attributes is part of the
+capture format.
+
+>>> outer_name(interface.TimerDue), KINDS["TimerDue"].fields
+('TimerDue', {'handle': 'handle'})
+>>> outer_name(dict)
+Traceback (most recent call last):
+    ...
+TypeError: dict has no outer name
+"""
+
+from dataclasses import fields
+from enum import Enum
+from typing import NamedTuple
+
+from lifthinge import interface
+from lifthinge.channel import Channel
+from lifthinge.histogram import Histogram
+from lifthinge.lowest import Lowest
+
+
+class Kind(NamedTuple):
+    """A dataclass that leaves the process, and its attributes by outer field name, in order."""
+
+    type: type
+    fields: dict[str, str]
+
+
+def _pairs(text: str) -> dict[str, str]:
+    """Read `OUTER` and `OUTER=ATTRIBUTE`, separated by blanks, as a dictionary of attributes.
+
+    >>> _pairs("zone took=latency_ms")
+    {'zone': 'zone', 'took': 'latency_ms'}
+    """
+    split = [word.partition("=") for word in text.split()]
+    return {outer: attribute or outer for outer, _, attribute in split}
+
+
+def _kind(kind: type, text: str) -> Kind:
+    """Return the entry of a dataclass, whose fields must be exactly those named, in order."""
+    attributes = _pairs(text)
+    if list(attributes.values()) != [field.name for field in fields(kind)]:
+        raise TypeError(f"the outer names of {kind.__name__} do not match its fields")
+    return Kind(kind, attributes)
+
+
+KINDS: dict[str, Kind] = {
+    # Events
+    "ByHand": _kind(interface.ByHand, "out shares criticality"),
+    "FleetNews": _kind(interface.FleetNews, "form listings"),
+    "TimerDue": _kind(interface.TimerDue, "handle"),
+    "ProbeResult": _kind(interface.ProbeResult, "backend outcome took load"),
+    "PeerNote": _kind(interface.PeerNote, "peer content"),
+    "ProxyJoined": _kind(interface.ProxyJoined, "proxy first_time"),
+    "ProxyLeft": _kind(interface.ProxyLeft, "proxy"),
+    "TriesReport": _kind(interface.TriesReport, "zone backend total aborted took span load"),
+    "ProxyLoad": _kind(interface.ProxyLoad, "proxy method total unanswered span"),
+    "SliceHeat": _kind(interface.SliceHeat, "slice method total unanswered span"),
+    "Leased": _kind(interface.Leased, "slice given"),
+    "StoredLine": _kind(interface.StoredLine, "slice backend weight"),
+    "SealConfirmed": _kind(interface.SealConfirmed, "proxy seal took"),
+    "ChannelState": _kind(interface.ChannelState, "free unknown broken"),
+    "OutStands": _kind(interface.OutStands, "backend out"),
+    # Orders
+    "SetLine": _kind(interface.SetLine, "slice backend weight"),
+    "ClearTable": _kind(interface.ClearTable, "slice"),
+    "BindProxy": _kind(interface.BindProxy, "slice proxy"),
+    "ShutOut": _kind(interface.ShutOut, "backend out"),
+    "SetLevel": _kind(interface.SetLevel, "methods slice level retry"),
+    "Seal": _kind(interface.Seal, "number everyone"),
+    "Wake": _kind(interface.Wake, "delay handle"),
+    "Probe": _kind(interface.Probe, "backend"),
+    "TellPeers": _kind(interface.TellPeers, "peer content"),
+    "Say": _kind(interface.Say, "text"),
+    "FollowList": _kind(interface.FollowList, "on"),
+    "FetchList": _kind(interface.FetchList, ""),
+    "RepeatCall": _kind(interface.RepeatCall, "seal"),
+    "Forget": _kind(interface.Forget, "backend"),
+    # Values within events and orders, and the settings
+    "Listing": _kind(interface.Listing, "backend zone cell phase started size"),
+    "Method": _kind(interface.Method, "soft_deadline deadline criticality"),
+    "SiteTerms": _kind(
+        interface.SiteTerms,
+        "methods sliced one_owner news_on_request sizes_told levels report_every channel_rate"
+        " head_lines pending_max pushes_allowed update_window warm_up transit_max proxies",
+    ),
+}
+ENUMS: dict[str, type[Enum]] = {
+    "Phase": interface.Phase,
+    "Form": interface.Form,
+    "Outcome": interface.Outcome,
+    "Retry": interface.Retry,
+}
+# Types whose slots are written in their order, without names; they are restored without `__init__`.
+HOLDERS: dict[str, tuple[type, tuple[str, ...]]] = {
+    "Histogram": (Histogram, Histogram.__slots__),
+    "Lowest": (Lowest, Lowest.__slots__),
+    "Channel": (Channel, Channel.__slots__),
+}
+# The decision state in a keyframe: outer name to attribute, in the order in which they are written.
+STATE: dict[str, str] = _pairs(
+    "dice soft ranks by_hand shares backends slices proxies dirty levels_due now fold_at round_at"
+    " wake_at cool_until plan_worst follow_at untold untold_at joined_at clear_at horizon spans"
+    " usual good fair stress let plan seal channel way said owed"
+)
+_OUTER_NAMES: dict[type, str] = {
+    **{kind.type: name for name, kind in KINDS.items()},
+    **{kind: name for name, kind in ENUMS.items()},
+    **{kind: name for name, (kind, _) in HOLDERS.items()},
+}
+
+
+def outer_name(kind: type) -> str:
+    """Return the outer name of an event, an order, an enumeration or a holder.
+
+    Raise TypeError if the type has none.
+    """
+    name = _OUTER_NAMES.get(kind)
+    if name is None:
+        raise TypeError(f"{kind.__name__} has no outer name")
+    return name
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -35,6 +35,7 @@
 from lifthinge.memory.books import Books
 from lifthinge.memory.calls import Calls
 from lifthinge.memory.world import World
+from lifthinge.outer_names import outer_name
 from lifthinge.service.environment import BadStart, Place, unfollowed
 from lifthinge.wire.collectors import Reception
 from lifthinge.wire.discovery import Discovery
@@ -253,7 +254,7 @@
         given = [order for order in orders if self.door.is_order(order)]
         if given:
             for order in given:
-                self.books.counters.add(f"orders.{type(order).__name__}")
+                self.books.counters.add(f"orders.{outer_name(type(order))}")
             self.relay.give(given)
         for order in orders:
             if not self.door.is_order(order):
--- a/lifthinge/wire/collectors.py
+++ b/lifthinge/wire/collectors.py
@@ -8,6 +8,7 @@
 from lifthinge.interface import Event
 from lifthinge.memory.books import Books
 from lifthinge.memory.deadlines import Deadline
+from lifthinge.outer_names import outer_name
 from lifthinge.wire import names
 from lifthinge.wire.connection import Connection
 from lifthinge.wire.door import Door
@@ -120,7 +121,7 @@
             return event
         if self.state is State.STRANGER:
             return Skip("a report before the zone")
-        self.books.counters.add(f"reports.{type(event).__name__}")
+        self.books.counters.add(f"reports.{outer_name(type(event))}")
         self.reception.tell([event])
         return None
 
--- a/lifthinge/wire/news.py
+++ b/lifthinge/wire/news.py
@@ -14,6 +14,7 @@
 from lifthinge.memory.deadlines import Deadline
 from lifthinge.memory.stand import Stand
 from lifthinge.memory.world import World
+from lifthinge.outer_names import outer_name
 from lifthinge.wire import names
 from lifthinge.wire.client import HttpConnection, Result, get
 from lifthinge.wire.connection import connect
@@ -156,7 +157,7 @@
         if isinstance(event, Skip):
             self.books.notices.note("bad_news", why=event.why)
         elif event is not None:
-            self.books.counters.add(f"news.{type(event).__name__}")
+            self.books.counters.add(f"news.{outer_name(type(event))}")
             if connection.stand is not None:
                 connection.stand.take(event)
             else:
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -36,6 +36,7 @@
     "memory.world",
     "nearest",
     "operators",
+    "outer_names",
     "raft.image",
     "raft.log",
     "raft.messages",
--- a/tests/check_capture.py
+++ b/tests/check_capture.py
@@ -3,6 +3,7 @@
 import tempfile
 import threading
 import zlib
+from dataclasses import fields
 from pathlib import Path
 from random import Random
 
@@ -12,11 +13,12 @@
 from lifthinge.capture.against import Against, load_text
 from lifthinge.capture.anonymise import Names, anonymised
 from lifthinge.capture.capture import Capture
-from lifthinge.capture.codec import Unreadable
+from lifthinge.capture.codec import NAMED, Unreadable
 from lifthinge.capture.segments import BLOCK, HEAD, NoCapture, SegmentWriter, read_segment, segments
 from lifthinge.capture.turns import Recorder, Replay, from_keyframes
 from lifthinge.choice import Choice
 from lifthinge.memory.counters import Counters
+from lifthinge.outer_names import ENUMS, HOLDERS, KINDS, STATE, outer_name
 from lifthinge.store.records import pack
 from tests.play import stage
 
@@ -259,4 +261,93 @@
     assert refused > 50 and unharmed > 10, (refused, unharmed)
 
 
+OUTER_KINDS = {
+    "ByHand": "out shares criticality",
+    "FleetNews": "form listings",
+    "TimerDue": "handle",
+    "ProbeResult": "backend outcome took load",
+    "PeerNote": "peer content",
+    "ProxyJoined": "proxy first_time",
+    "ProxyLeft": "proxy",
+    "TriesReport": "zone backend total aborted took span load",
+    "ProxyLoad": "proxy method total unanswered span",
+    "SliceHeat": "slice method total unanswered span",
+    "Leased": "slice given",
+    "StoredLine": "slice backend weight",
+    "SealConfirmed": "proxy seal took",
+    "ChannelState": "free unknown broken",
+    "OutStands": "backend out",
+    "SetLine": "slice backend weight",
+    "ClearTable": "slice",
+    "BindProxy": "slice proxy",
+    "ShutOut": "backend out",
+    "SetLevel": "methods slice level retry",
+    "Seal": "number everyone",
+    "Wake": "delay handle",
+    "Probe": "backend",
+    "TellPeers": "peer content",
+    "Say": "text",
+    "FollowList": "on",
+    "FetchList": "",
+    "RepeatCall": "seal",
+    "Forget": "backend",
+    "Listing": "backend zone cell phase started size",
+    "Method": "soft_deadline deadline criticality",
+    "SiteTerms": (
+        "methods sliced one_owner news_on_request sizes_told levels report_every channel_rate"
+        " head_lines pending_max pushes_allowed update_window warm_up transit_max proxies"
+    ),
+}
+OUTER_ENUMS = {
+    "Phase": "gone ready draining",
+    "Form": "delta full cached missed",
+    "Outcome": "ok aborted pushed_back late unreachable broken",
+    "Retry": "0 1 2 3",
+}
+OUTER_HOLDERS = {"Histogram": 2, "Lowest": 1, "Channel": 3}  # number of slots
+OUTER_OBJECTS = {"b": 31, "s": 13, "p": 4}  # number of fields
+OUTER_STATE = (
+    "dice soft ranks by_hand shares backends slices proxies dirty levels_due now fold_at round_at"
+    " wake_at cool_until plan_worst follow_at untold untold_at joined_at clear_at horizon spans"
+    " usual good fair stress let plan seal channel way said owed"
+)
+
+
+def check_outer_names() -> None:
+    """A rename in the code changes none of the names that captures, replays and counters show, nor their order."""
+    assert {name: " ".join(kind.fields) for name, kind in KINDS.items()} == OUTER_KINDS
+    assert list(KINDS) == list(OUTER_KINDS)
+    assert {
+        name: " ".join(str(member.value) for member in kind) for name, kind in ENUMS.items()
+    } == OUTER_ENUMS
+    assert {name: len(slots) for name, (_, slots) in HOLDERS.items()} == OUTER_HOLDERS
+    assert {tag: len(fields(kind)) for tag, (kind, _, _) in NAMED.items()} == OUTER_OBJECTS
+    assert " ".join(STATE) == OUTER_STATE
+    for name, kind in KINDS.items():
+        assert outer_name(kind.type) == name
+    # The names as they are written, not only as the table has them.
+    played = Recorded()
+    played.run((HERE / "scenarios" / "violator.txt").read_text())
+    frame = next(record for record in reversed(played.records[0]) if record[0] == "k")
+    _, terms, _, (form, own, objects) = frame
+    assert form == 2 and terms[:2] == ["o", "SiteTerms"] and " ".join(own) == OUTER_STATE
+    assert own["channel"][:2] == ["h", "Channel"] and own["way"][:2] == ["o", "ChannelState"]
+    assert {one[0]: len(one) - 2 for one in objects} == OUTER_OBJECTS
+    backend = next(one for one in objects if one[0] == "b")
+    assert [value[1] for value in backend if isinstance(value, list)][:2] == ["Phase", "Phase"]
+    holders = [value[1] for value in backend if isinstance(value, list) and value[0] == "h"]
+    assert holders == ["Lowest", "Histogram"]
+    told = {event[1] for record in played.records[0] if record[0] == "t" for event in record[4]}
+    assert told == {
+        "FleetNews",
+        "Leased",
+        "ProxyJoined",
+        "SealConfirmed",
+        "SliceHeat",
+        "StoredLine",
+        "TimerDue",
+        "TriesReport",
+    }, told
+
+
 CHECKS = {name[6:]: check for name, check in list(globals().items()) if name.startswith("check_")}
--- a/tests/play/network.py
+++ b/tests/play/network.py
@@ -17,7 +17,6 @@
 from random import Random
 from types import SimpleNamespace
 
-from lifthinge import interface
 from lifthinge.interface import (
     Backend,
     ChannelState,
@@ -33,6 +32,7 @@
 from lifthinge.memory.counters import Counters, Notices
 from lifthinge.memory.deadlines import Deadlines
 from lifthinge.memory.slots import Slots
+from lifthinge.outer_names import KINDS, outer_name
 from lifthinge.service.controller import Controller
 from lifthinge.service.environment import Place
 from lifthinge.terms import read_map, read_terms
@@ -107,7 +107,7 @@
         )
     values = [getattr(event, field.name) for field in fields(event)]
     return " ".join(
-        [type(event).__name__]
+        [outer_name(type(event))]
         + [
             one.name
             if isinstance(one, Backend)
@@ -355,22 +355,22 @@
         }
         for one in " ".join(words).split(", ") if words else ():
             name, *args = one.split()
-            kind = getattr(interface, name)
+            kind, attributes = KINDS[name]
             values = [
-                kinds[f.name](arg)
-                if f.name in kinds and arg != "all"
+                kinds[field](arg)
+                if field in kinds and arg != "all"
                 else None
                 if arg == "all"
                 else unescape([arg])
-                if f.name == "content"
+                if field == "content"
                 else arg
-                if f.name == "text"
+                if field == "text"
                 else Retry(int(arg))
-                if f.name == "retry"
+                if field == "retry"
                 else tuple(json.loads(arg))
-                if f.name == "methods"
+                if field == "methods"
                 else json.loads(arg)
-                for f, arg in zip(fields(kind), args)
+                for field, arg in zip(attributes, args)
             ]
             orders.append(kind(*values))
         self.script.due.append(orders)
--- a/tests/play/stage.py
+++ b/tests/play/stage.py
@@ -64,6 +64,7 @@
     TriesReport,
     Wake,
 )
+from lifthinge.outer_names import KINDS
 
 TERMS = SiteTerms(
     methods=(Method(1500.0, 5000.0, 1.0), Method(800.0, 2000.0, 3.0)),
@@ -196,10 +197,13 @@
 
     def do_terms(self, *pairs: str) -> None:
         values = dict(pair.split("=") for pair in pairs)
+        attributes = KINDS["SiteTerms"].fields
         self.terms = replace(
             self.terms,
             **{
-                key: value if key == "levels" else type(getattr(TERMS, key))(float(value))
+                attributes[key]: value
+                if key == "levels"
+                else type(getattr(TERMS, attributes[key]))(float(value))
                 for key, value in values.items()
             },
         )
