--- a/lifthinge/capture/against.py
+++ b/lifthinge/capture/against.py
@@ -13,15 +13,15 @@
 from pathlib import Path
 
 from lifthinge.capture.turns import Replay
-from lifthinge.interface import Event, Order, Say, Wake
+from lifthinge.interface import Event, LogDecision, Order, SetTimer
 from lifthinge.outer_names import outer_name
 
-MODULE = "lifthinge/choice.py"
-QUIET = (Say, Wake)  # orders that change nothing outside
+MODULE = "lifthinge/policy.py"
+QUIET = (LogDecision, SetTimer)  # orders that change nothing outside
 
 
 def load_text(where: str) -> type | str:
-    """`Choice` of another text, a file or a revision of this repository; or why there is none."""
+    """`Policy` of another text, a file or a revision of this repository; or why there is none."""
     path = Path(where)
     if path.is_dir():
         path = path / MODULE
@@ -32,11 +32,11 @@
         with tempfile.NamedTemporaryFile("w", suffix=".py", delete=False) as file:
             file.write(shown.stdout)
         path = Path(file.name)
-    spec = importlib.util.spec_from_file_location("lifthinge_other_choice", path)
+    spec = importlib.util.spec_from_file_location("lifthinge_other_policy", path)
     module = importlib.util.module_from_spec(spec)
     try:
         spec.loader.exec_module(module)
-        return module.Choice
+        return module.Policy
     except Exception as error:  # another text may fail in any way
         return f"{where}: {type(error).__name__}: {error}"
 
--- a/lifthinge/capture/anonymise.py
+++ b/lifthinge/capture/anonymise.py
@@ -1,6 +1,6 @@
 """Other names for backends, the same all through a capture, so that it can be handed on; its replay still agrees.
 
-What decisions say in words (`Say`) holds names and is no part of a turn's digest; notes between controllers are bytes
+What decisions say in words (`LogDecision`) holds names and is no part of a turn's digest; notes between controllers are bytes
 that nobody can look into, so they are emptied only where none is decided on (none is today).
 
 >>> names = Names()
--- a/lifthinge/capture/capture.py
+++ b/lifthinge/capture/capture.py
@@ -10,18 +10,18 @@
 
 from lifthinge.capture.segments import SegmentWriter
 from lifthinge.capture.turns import Recorder
-from lifthinge.choice import Choice
 from lifthinge.interface import Event, Order
 from lifthinge.memory.counters import Counters
+from lifthinge.policy import Policy
 
 log = logging.getLogger(__name__)
 WAITING_MOST = 2_000  # records not yet written; what comes beyond is left out, with a mark
 
 
 class Capture:
-    """Takes the place of a `Choice` before the controller; what it can't write in time is left out and marked."""
+    """Takes the place of a `Policy` before the controller; what it can't write in time is left out and marked."""
 
-    def __init__(self, choice: Choice, writer: SegmentWriter, counters: Counters) -> None:
+    def __init__(self, choice: Policy, writer: SegmentWriter, counters: Counters) -> None:
         self.recorder, self.writer, self.counters = Recorder(choice), writer, counters
         self._due: SimpleQueue[list[list] | None] = SimpleQueue()
         self._waiting = 0  # records given to the thread, less those that it has written
@@ -73,7 +73,7 @@
 
 
 def open_capture(
-    choice: Choice,
+    choice: Policy,
     folder: str,
     budget_mb: float,
     segment_mb: float,
--- a/lifthinge/capture/codec.py
+++ b/lifthinge/capture/codec.py
@@ -4,8 +4,8 @@
 `lifthinge.outer_names`, with its fields in their order. A type that is not listed there is an error when it is met,
 not when it is needed.
 
->>> from lifthinge.interface import Backend, Slice, SetLine
->>> one = Coder(); line = SetLine(Slice(3), Backend("s-a", "s-a"), 0.5)
+>>> from lifthinge.interface import Backend, Slice, SetEntry
+>>> one = Coder(); line = SetEntry(Slice(3), Backend("s-a", "s-a"), 0.5)
 >>> plain = one.plain(line); plain
 ['o', 'SetLine', ['s', 0], ['b', 0], 0.5]
 >>> [(tag, number, key) for tag, number, key, _ in one.defined()]
@@ -28,9 +28,9 @@
 from typing import Any
 
 from lifthinge import interface
-from lifthinge.choice import Choice
 from lifthinge.interface import Backend, Proxy, Slice
 from lifthinge.outer_names import ENUMS, HOLDERS, KINDS, STATE, outer_name
+from lifthinge.policy import Policy
 
 FORM = 2  # of the plain values; another form is not read
 NAMED: dict[
@@ -40,7 +40,7 @@
     "s": (Slice, "number", ()),
     "p": (Proxy, "number", ("zone", "size", "bound")),
 }
-# Attributes of a `Choice` that are not written; `notes` is made anew, and `terms` stands in the head.
+# Attributes of a `Policy` that are not written; `notes` is made anew, and `terms` stands in the head.
 SKIPPED = ("notes", "terms")
 _BARE = frozenset((type(None), bool, int, float, str, bytes))
 _OBJECTS = frozenset((Backend, Slice, Proxy))
@@ -180,7 +180,7 @@
 
     # The whole decision state.
 
-    def export(self, choice: Choice) -> list:
+    def export(self, choice: Policy) -> list:
         """All that an instance will ever decide by: what it keeps itself, and what it keeps on the objects it knows."""
         unnamed = vars(choice).keys() - set(STATE.values()) - set(SKIPPED)
         if unnamed:
@@ -196,7 +196,7 @@
                 done += 1
         return [FORM, own, kept]
 
-    def restore(self, terms: interface.SiteTerms, state: list, kind: type = Choice) -> Any:
+    def restore(self, terms: interface.SiteSettings, state: list, kind: type = Policy) -> Any:
         """An instance that decides alike ever after; the objects must have been defined.
 
         Another text's (`kind`) takes over what both keep, and begins with the rest as at a start.
@@ -210,7 +210,7 @@
             for field, value in zip(fields(one), values, strict=True):
                 setattr(one, field.name, self.object(value))
         known = {name for name, attribute in STATE.items() if attribute in vars(choice)}
-        if kind is Choice and known != set(own):
+        if kind is Policy and known != set(own):
             raise Unreadable(f"a keyframe of another text: {', '.join(sorted(known ^ set(own)))}")
         for name, value in own.items():
             if name in known:
--- a/lifthinge/capture/turns.py
+++ b/lifthinge/capture/turns.py
@@ -17,8 +17,8 @@
 from blake3 import blake3
 
 from lifthinge.capture.codec import Coder, Unreadable
-from lifthinge.choice import Choice
-from lifthinge.interface import Event, Order, ProxyJoined, Say
+from lifthinge.interface import Event, LogDecision, Order, ProxyJoined
+from lifthinge.policy import Policy
 
 _encode = msgspec.msgpack.Encoder().encode
 
@@ -26,14 +26,14 @@
 def digest_of(coder: Coder, orders: list[Order]) -> bytes:
     """What tells one list of orders from another; what is said beside them explains, and names names."""
     return blake3(
-        _encode([coder.plain(order) for order in orders if type(order) is not Say])
+        _encode([coder.plain(order) for order in orders if type(order) is not LogDecision])
     ).digest(length=16)
 
 
 class Recorder:
-    """Stands before a `Choice` and puts on record what passes; `take` gives the records since the last call."""
+    """Stands before a `Policy` and puts on record what passes; `take` gives the records since the last call."""
 
-    def __init__(self, choice: Choice) -> None:
+    def __init__(self, choice: Policy) -> None:
         self.choice, self.coder = choice, Coder()
         self._records: list[list] = []
         self.keyframe()
@@ -76,10 +76,10 @@
 class Replay:
     """Plays records again; `turns` counts those that came out alike."""
 
-    def __init__(self, kind: type = Choice) -> None:
+    def __init__(self, kind: type = Policy) -> None:
         self.kind = kind  # another text of the decisions orders otherwise: nothing is compared then
         self.coder: Coder | None = None
-        self.choice: Choice | None = None
+        self.choice: Policy | None = None
         self.events: list[Event] = []  # of the last turn, and what was ordered
         self.orders: list[Order] = []
         self.turns = self.skipped = 0
@@ -142,7 +142,7 @@
         self.events, self.orders = events, orders
         found = digest_of(self.coder, orders)
         self.digest.update(found)
-        if found != digest and self.kind is Choice:
+        if found != digest and self.kind is Policy:
             return Parted(place, now, events, orders)
         self.turns += 1
         return None
--- a/lifthinge/capture/words.py
+++ b/lifthinge/capture/words.py
@@ -1,9 +1,9 @@
 """Events and orders in words: kind, then its fields, objects by what they are known by.
 
->>> from lifthinge.interface import Backend, Form, FleetNews, Listing, Phase, SetLine, Slice
->>> words(SetLine(Slice(3), Backend("s-a", "s-a"), 0.50004))
+>>> from lifthinge.interface import Backend, FleetNewsKind, FleetNews, Listing, Phase, SetEntry, Slice
+>>> words(SetEntry(Slice(3), Backend("s-a", "s-a"), 0.50004))
 'SetLine slice=3 backend=s-a weight=0.5'
->>> words(FleetNews(Form.DELTA, [Listing(Backend("s-a", "s-a"), 1, 0, Phase.READY, 0.0, 1.0)]))
+>>> words(FleetNews(FleetNewsKind.DELTA, [Listing(Backend("s-a", "s-a"), 1, 0, Phase.READY, 0.0, 1.0)]))
 'FleetNews form=delta listings=[Listing backend=s-a zone=1 cell=0 phase=ready started=0 size=1]'
 """
 
--- a/lifthinge/cli/agreed.py
+++ b/lifthinge/cli/agreed.py
@@ -48,10 +48,10 @@
                     inner = {**inner, "until": _time(until, path, line_of(text, f"{label}.until"))}
                 body.setdefault(part, []).append({key: label, **inner})
     if data:
-        from lifthinge.nearest import nearest
+        from lifthinge.closest_name import closest_name
 
         name = next(iter(data))
-        like = nearest(name, ("backend", "zone", "method"))
+        like = closest_name(name, ("backend", "zone", "method"))
         stop(
             f"{path}:{line_of(text, name)}: {name}: unknown"
             + (f"; did you mean {like}?" if like else "")
--- a/lifthinge/cli/drill.py
+++ b/lifthinge/cli/drill.py
@@ -35,12 +35,12 @@
 def raft_model(walks: int, steps: int, size: int, seed: int, fault: str) -> None:
     """The protocol alone under a virtual clock, with random failures and checks after every step."""
     from lifthinge.cli.common import stop
+    from lifthinge.closest_name import closest_name
     from lifthinge.lab.faults import FAULTS
     from lifthinge.lab.raftworld import RaftWorld, Violation
-    from lifthinge.nearest import nearest
 
     if fault and fault not in FAULTS:
-        like = nearest(fault, FAULTS)
+        like = closest_name(fault, FAULTS)
         stop(
             f"--fault {fault}: unknown"
             + (f"; did you mean {like}?" if like else f"; one of {', '.join(FAULTS)}")
--- a/lifthinge/nearest.py
+++ b/lifthinge/closest_name.py
@@ -1,6 +1,6 @@
 """The nearest known name to one that is not known.
 
->>> nearest("elction", ["election", "beat"]), nearest("zzz", ["election"])
+>>> closest_name("elction", ["election", "beat"]), closest_name("zzz", ["election"])
 ('election', None)
 """
 
@@ -8,5 +8,5 @@
 from difflib import get_close_matches
 
 
-def nearest(name: str, known: Iterable[str]) -> str | None:
+def closest_name(name: str, known: Iterable[str]) -> str | None:
     return next(iter(get_close_matches(name, list(known), 1)), None)
--- a/lifthinge/interface.py
+++ b/lifthinge/interface.py
@@ -1,6 +1,6 @@
 """Types at the door of the decision module: what it is told, what it may order, and its site's terms.
 
-An adapter makes one `lifthinge.choice.Choice` for each instance, hands it the events of a batch with
+An adapter makes one `lifthinge.policy.Policy` for each instance, hands it the events of a batch with
 the batch's time, and carries out the orders that come back, in their order. Times are float
 milliseconds. Backends, slices and proxies are objects that the adapter makes once for each instance;
 their ids mean nothing to the decisions.
@@ -11,7 +11,7 @@
 from typing import Any, Union
 
 from lifthinge.histogram import Histogram
-from lifthinge.lowest import Lowest
+from lifthinge.sliding_minimum import SlidingWindowMinimum
 
 
 class Phase(Enum):
@@ -22,7 +22,7 @@
     DRAINING = "draining"
 
 
-class Form(Enum):
+class FleetNewsKind(Enum):
     """What a piece of fleet news holds."""
 
     DELTA = "delta"
@@ -31,7 +31,7 @@
     MISSED = "missed"
 
 
-class Outcome(Enum):
+class ProbeOutcome(Enum):
     """What a probe found."""
 
     OK = "ok"
@@ -42,7 +42,7 @@
     BROKEN = "broken"
 
 
-class Retry(IntEnum):
+class RetryMode(IntEnum):
     """Further tries that a proxy makes at other lines of a table."""
 
     NEVER = 0
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class SiteTerms:
+class SiteSettings:
     """What a site fixes for the day."""
 
     methods: tuple[Method, ...]
@@ -97,7 +97,7 @@
     size: float = 1.0
     # working memory
     shut_out: bool = False  # present state: withdrawn from the joined proxies
-    lows: Lowest = field(default_factory=Lowest)
+    lows: SlidingWindowMinimum = field(default_factory=SlidingWindowMinimum)
     ratio: float | None = None
     heard_at: float | None = None
     strikes: int = 0
@@ -172,7 +172,7 @@
 
 @dataclass(slots=True)
 class FleetNews:
-    form: Form
+    form: FleetNewsKind
     listings: list[Listing]
 
 
@@ -184,13 +184,13 @@
 @dataclass(slots=True)
 class ProbeResult:
     backend: Backend
-    outcome: Outcome
+    outcome: ProbeOutcome
     took: float
     load: tuple[float, ...]
 
 
 @dataclass(slots=True)
-class PeerNote:
+class PeerMessage:
     peer: int
     content: bytes
 
@@ -207,7 +207,7 @@
 
 
 @dataclass(slots=True)
-class TriesReport:
+class AttemptReport:
     zone: int
     backend: Backend
     total: int
@@ -218,7 +218,7 @@
 
 
 @dataclass(slots=True)
-class ProxyLoad:
+class ProxyLoadReport:
     proxy: Proxy
     method: int
     total: int
@@ -227,7 +227,7 @@
 
 
 @dataclass(slots=True)
-class SliceHeat:
+class SliceHeatReport:
     slice: Slice
     method: int
     total: int
@@ -236,13 +236,13 @@
 
 
 @dataclass(slots=True)
-class Leased:
+class SliceLeaseChanged:
     slice: Slice
     given: bool
 
 
 @dataclass(slots=True)
-class StoredLine:
+class StoredEntry:
     slice: Slice
     backend: Backend
     weight: float
@@ -272,7 +272,7 @@
 
 
 @dataclass(slots=True)
-class OutStands:
+class WithdrawalState:
     """Whether a backend is withdrawn, other than was ordered: the call was given up."""
 
     backend: Backend
@@ -280,7 +280,7 @@
 
 
 @dataclass(slots=True)
-class ByHand:
+class OperatorOverrides:
     """What the operators agreed on, in place of what they had: it stands until the next such event.
 
     Who is out of service is as good as draining; a zone's backends are given that share of their usual work; a
@@ -293,21 +293,21 @@
 
 
 Event = Union[
-    ByHand,
+    OperatorOverrides,
     FleetNews,
     TimerDue,
     ProbeResult,
-    PeerNote,
+    PeerMessage,
     ProxyJoined,
     ProxyLeft,
-    TriesReport,
-    ProxyLoad,
-    SliceHeat,
-    Leased,
-    StoredLine,
+    AttemptReport,
+    ProxyLoadReport,
+    SliceHeatReport,
+    SliceLeaseChanged,
+    StoredEntry,
     SealConfirmed,
     ChannelState,
-    OutStands,
+    WithdrawalState,
 ]
 
 
@@ -315,7 +315,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetLine:
+class SetEntry:
     slice: Slice
     backend: Backend
     weight: float
@@ -333,17 +333,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShutOut:
+class SetWithdrawn:
     backend: Backend
     out: bool
 
 
 @dataclass(frozen=True, slots=True)
-class SetLevel:
+class SetAdmissionLevel:
     methods: tuple[int, ...]
     slice: Slice | None  # None: every slice of the instance
     level: float
-    retry: Retry
+    retry: RetryMode
 
 
 @dataclass(frozen=True, slots=True)
@@ -353,7 +353,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
+class SetTimer:
     delay: float
     handle: int
 
@@ -364,23 +364,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeers:
+class SendToPeers:
     peer: int | None  # None: all of them
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogDecision:
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class FollowList:
+class FollowFleetList:
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchFleetList:
     pass
 
 
@@ -392,25 +392,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forget:
+class ForgetBackend:
     """Nothing names this backend any more, and it is gone: the adapter need not keep it."""
 
     backend: Backend
 
 
 Order = Union[
-    SetLine,
+    SetEntry,
     ClearTable,
     BindProxy,
-    ShutOut,
-    SetLevel,
+    SetWithdrawn,
+    SetAdmissionLevel,
     Seal,
-    Wake,
+    SetTimer,
     Probe,
-    TellPeers,
-    Say,
-    FollowList,
-    FetchList,
+    SendToPeers,
+    LogDecision,
+    FollowFleetList,
+    FetchFleetList,
     RepeatCall,
-    Forget,
+    ForgetBackend,
 ]
--- a/lifthinge/lab/capturebench.py
+++ b/lifthinge/lab/capturebench.py
@@ -15,13 +15,12 @@
 from lifthinge.capture.codec import Coder
 from lifthinge.capture.segments import SegmentWriter, read_segment, segments
 from lifthinge.capture.turns import Replay
-from lifthinge.choice import Choice
 from lifthinge.interface import (
+    AttemptReport,
     Backend,
     Event,
     FleetNews,
-    Form,
-    Leased,
+    FleetNewsKind,
     Listing,
     Method,
     Phase,
@@ -29,17 +28,18 @@
     ProxyJoined,
     Seal,
     SealConfirmed,
-    SiteTerms,
+    SiteSettings,
     Slice,
-    SliceHeat,
-    StoredLine,
-    TriesReport,
+    SliceHeatReport,
+    SliceLeaseChanged,
+    StoredEntry,
 )
 from lifthinge.memory.counters import Counters
 from lifthinge.outer_names import KINDS, outer_name
+from lifthinge.policy import Policy
 
 EVERY = 500.0  # ms between turns with reports
-TERMS = SiteTerms(
+TERMS = SiteSettings(
     methods=(Method(1500.0, 5000.0, 1.0), Method(800.0, 2000.0, 3.0)),
     sliced=True,
     one_owner=False,
@@ -72,12 +72,12 @@
             Listing(one, place % 3, 0, Phase.READY, 0.0, 1.0)
             for place, one in enumerate(self.backends)
         ]
-        events: list[Event] = [FleetNews(Form.FULL, listings)]
+        events: list[Event] = [FleetNews(FleetNewsKind.FULL, listings)]
         events += [ProxyJoined(one, True) for one in self.proxies]
         for place, one in enumerate(self.slices):
             events += [
-                Leased(one, True),
-                StoredLine(one, self.backends[place % len(self.backends)], 1.0),
+                SliceLeaseChanged(one, True),
+                StoredEntry(one, self.backends[place % len(self.backends)], 1.0),
             ]
         return events
 
@@ -89,7 +89,7 @@
             for zone in range(2):
                 slow = 8.0 if one is self.backends[int(dice.random() * 3)] else 1.0
                 events.append(
-                    TriesReport(
+                    AttemptReport(
                         zone,
                         one,
                         dice.randrange(1, 20),
@@ -100,7 +100,7 @@
                     )
                 )
         events += [
-            SliceHeat(one, dice.randrange(2), dice.randrange(30), 0, EVERY)
+            SliceHeatReport(one, dice.randrange(2), dice.randrange(30), 0, EVERY)
             for one in dice.sample(self.slices, len(self.slices) // 2)
         ]
         return events
@@ -108,7 +108,7 @@
 
 def _play(backends: int, proxies: int, turns: int, folder: Path | None) -> dict[str, Any]:
     """One day of so many turns; `folder` has it captured."""
-    load, choice, counters = Load(backends, proxies, 5), Choice(TERMS, 5), Counters()
+    load, choice, counters = Load(backends, proxies, 5), Policy(TERMS, 5), Counters()
     decider = (
         choice
         if folder is None
--- a/lifthinge/memory/calls.py
+++ b/lifthinge/memory/calls.py
@@ -1,9 +1,9 @@
 """Orders that are not yet known to be carried out, in the order given.
 
->>> from lifthinge.interface import Backend, Seal, SetLine, ShutOut, Slice
+>>> from lifthinge.interface import Backend, Seal, SetEntry, SetWithdrawn, Slice
 >>> one, a = Slice(4), Backend("a", "a")
 >>> calls = Calls()
->>> calls.add([(SetLine(one, a, 1.0), b"12345"), (ShutOut(a, True), b"123"), (Seal(7), b"12")])
+>>> calls.add([(SetEntry(one, a, 1.0), b"12345"), (SetWithdrawn(a, True), b"123"), (Seal(7), b"12")])
 >>> [p.body for p in calls.front(9)], [p.body for p in calls.front(99)], calls.seal()
 ([b'12345', b'123'], [b'12345', b'123', b'12'], 7)
 >>> call = calls.front(99)
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from lifthinge.interface import ClearTable, Order, Seal, SetLine, Slice
+from lifthinge.interface import ClearTable, Order, Seal, SetEntry, Slice
 
 
 @dataclass(eq=False, slots=True)
@@ -56,7 +56,7 @@
         self._waiting = [one for one in self._waiting if one not in settled]
         for one in done:
             self.settled += 1
-            if isinstance(one.order, (SetLine, ClearTable)):
+            if isinstance(one.order, (SetEntry, ClearTable)):
                 self._settled_at[one.order.slice] = self.settled
 
     def slice_gone(self, gone: Slice) -> None:
--- a/lifthinge/memory/stand.py
+++ b/lifthinge/memory/stand.py
@@ -3,12 +3,12 @@
 from lifthinge.interface import (
     Backend,
     Event,
-    Leased,
     Proxy,
     ProxyJoined,
     ProxyLeft,
     Slice,
-    StoredLine,
+    SliceLeaseChanged,
+    StoredEntry,
 )
 from lifthinge.memory.calls import Calls
 from lifthinge.memory.world import World
@@ -33,11 +33,11 @@
             self.joined[event.proxy] = event
         elif isinstance(event, ProxyLeft):
             self.joined.pop(event.proxy, None)
-        elif isinstance(event, Leased):
+        elif isinstance(event, SliceLeaseChanged):
             self.lines.pop(event.slice, None)
             if event.given:
                 self.lines[event.slice] = {}
-        elif isinstance(event, StoredLine):
+        elif isinstance(event, StoredEntry):
             self.lines.setdefault(event.slice, {})[event.backend] = event.weight
 
     def difference(self, world: World) -> list[Event]:
@@ -48,12 +48,12 @@
             for proxy, event in self.joined.items()
             if proxy not in world.joined or event.first_time and not world.joined[proxy]
         ]
-        told += [Leased(one, False) for one in world.held if one not in self.lines]
+        told += [SliceLeaseChanged(one, False) for one in world.held if one not in self.lines]
         for one, lines in self.lines.items():
             touched = self._calls.touched(one, self._since)
             if one not in world.held or not touched and not _same(one.lines, lines):
-                told.append(Leased(one, True))
-                told += [StoredLine(one, backend, weight) for backend, weight in lines.items()]
+                told.append(SliceLeaseChanged(one, True))
+                told += [StoredEntry(one, backend, weight) for backend, weight in lines.items()]
         return told
 
 
--- a/lifthinge/outer_names.py
+++ b/lifthinge/outer_names.py
@@ -20,7 +20,7 @@
 from lifthinge import interface
 from lifthinge.channel import Channel
 from lifthinge.histogram import Histogram
-from lifthinge.lowest import Lowest
+from lifthinge.sliding_minimum import SlidingWindowMinimum
 
 
 class Kind(NamedTuple):
@@ -50,55 +50,55 @@
 
 KINDS: dict[str, Kind] = {
     # Events
-    "ByHand": _kind(interface.ByHand, "out shares criticality"),
+    "ByHand": _kind(interface.OperatorOverrides, "out shares criticality"),
     "FleetNews": _kind(interface.FleetNews, "form listings"),
     "TimerDue": _kind(interface.TimerDue, "handle"),
     "ProbeResult": _kind(interface.ProbeResult, "backend outcome took load"),
-    "PeerNote": _kind(interface.PeerNote, "peer content"),
+    "PeerNote": _kind(interface.PeerMessage, "peer content"),
     "ProxyJoined": _kind(interface.ProxyJoined, "proxy first_time"),
     "ProxyLeft": _kind(interface.ProxyLeft, "proxy"),
-    "TriesReport": _kind(interface.TriesReport, "zone backend total aborted took span load"),
-    "ProxyLoad": _kind(interface.ProxyLoad, "proxy method total unanswered span"),
-    "SliceHeat": _kind(interface.SliceHeat, "slice method total unanswered span"),
-    "Leased": _kind(interface.Leased, "slice given"),
-    "StoredLine": _kind(interface.StoredLine, "slice backend weight"),
+    "TriesReport": _kind(interface.AttemptReport, "zone backend total aborted took span load"),
+    "ProxyLoad": _kind(interface.ProxyLoadReport, "proxy method total unanswered span"),
+    "SliceHeat": _kind(interface.SliceHeatReport, "slice method total unanswered span"),
+    "Leased": _kind(interface.SliceLeaseChanged, "slice given"),
+    "StoredLine": _kind(interface.StoredEntry, "slice backend weight"),
     "SealConfirmed": _kind(interface.SealConfirmed, "proxy seal took"),
     "ChannelState": _kind(interface.ChannelState, "free unknown broken"),
-    "OutStands": _kind(interface.OutStands, "backend out"),
+    "OutStands": _kind(interface.WithdrawalState, "backend out"),
     # Orders
-    "SetLine": _kind(interface.SetLine, "slice backend weight"),
+    "SetLine": _kind(interface.SetEntry, "slice backend weight"),
     "ClearTable": _kind(interface.ClearTable, "slice"),
     "BindProxy": _kind(interface.BindProxy, "slice proxy"),
-    "ShutOut": _kind(interface.ShutOut, "backend out"),
-    "SetLevel": _kind(interface.SetLevel, "methods slice level retry"),
+    "ShutOut": _kind(interface.SetWithdrawn, "backend out"),
+    "SetLevel": _kind(interface.SetAdmissionLevel, "methods slice level retry"),
     "Seal": _kind(interface.Seal, "number everyone"),
-    "Wake": _kind(interface.Wake, "delay handle"),
+    "Wake": _kind(interface.SetTimer, "delay handle"),
     "Probe": _kind(interface.Probe, "backend"),
-    "TellPeers": _kind(interface.TellPeers, "peer content"),
-    "Say": _kind(interface.Say, "text"),
-    "FollowList": _kind(interface.FollowList, "on"),
-    "FetchList": _kind(interface.FetchList, ""),
+    "TellPeers": _kind(interface.SendToPeers, "peer content"),
+    "Say": _kind(interface.LogDecision, "text"),
+    "FollowList": _kind(interface.FollowFleetList, "on"),
+    "FetchList": _kind(interface.FetchFleetList, ""),
     "RepeatCall": _kind(interface.RepeatCall, "seal"),
-    "Forget": _kind(interface.Forget, "backend"),
+    "Forget": _kind(interface.ForgetBackend, "backend"),
     # Values within events and orders, and the settings
     "Listing": _kind(interface.Listing, "backend zone cell phase started size"),
     "Method": _kind(interface.Method, "soft_deadline deadline criticality"),
     "SiteTerms": _kind(
-        interface.SiteTerms,
+        interface.SiteSettings,
         "methods sliced one_owner news_on_request sizes_told levels report_every channel_rate"
         " head_lines pending_max pushes_allowed update_window warm_up transit_max proxies",
     ),
 }
 ENUMS: dict[str, type[Enum]] = {
     "Phase": interface.Phase,
-    "Form": interface.Form,
-    "Outcome": interface.Outcome,
-    "Retry": interface.Retry,
+    "Form": interface.FleetNewsKind,
+    "Outcome": interface.ProbeOutcome,
+    "Retry": interface.RetryMode,
 }
 # Types whose slots are written in their order, without names; they are restored without `__init__`.
 HOLDERS: dict[str, tuple[type, tuple[str, ...]]] = {
     "Histogram": (Histogram, Histogram.__slots__),
-    "Lowest": (Lowest, Lowest.__slots__),
+    "Lowest": (SlidingWindowMinimum, SlidingWindowMinimum.__slots__),
     "Channel": (Channel, Channel.__slots__),
 }
 # The decision state in a keyframe: outer name to attribute, in the order in which they are written.
--- a/lifthinge/choice.py
+++ b/lifthinge/policy.py
@@ -1,6 +1,6 @@
 """The decisions of lifthinge: which backend serves which slice, and what the proxies are told of it.
 
-How it is invoked: an adapter makes one `Choice(terms, seed)` for each instance and calls
+How it is invoked: an adapter makes one `Policy(terms, seed)` for each instance and calls
 `decide(now, events)` once for each batch that holds an event for it; the orders that come back take
 effect in their order. The types at this door are in `lifthinge/interface.py`; why things are as they
 are is in `docs/design.md`. Nothing here reads a clock, a file or the network.
@@ -12,38 +12,38 @@
 
 from lifthinge.channel import Channel
 from lifthinge.interface import (
+    AttemptReport,
     Backend,
     BindProxy,
-    ByHand,
     ChannelState,
     Event,
     FleetNews,
-    FollowList,
-    Forget,
-    Form,
-    Leased,
+    FleetNewsKind,
+    FollowFleetList,
+    ForgetBackend,
+    LogDecision,
+    OperatorOverrides,
     Order,
-    OutStands,
     Phase,
     Proxy,
     ProxyJoined,
     ProxyLeft,
     RepeatCall,
-    Retry,
-    Say,
+    RetryMode,
     Seal,
     SealConfirmed,
-    SetLevel,
-    SetLine,
-    ShutOut,
-    SiteTerms,
+    SetAdmissionLevel,
+    SetEntry,
+    SetTimer,
+    SetWithdrawn,
+    SiteSettings,
     Slice,
-    SliceHeat,
-    StoredLine,
-    TriesReport,
-    Wake,
+    SliceHeatReport,
+    SliceLeaseChanged,
+    StoredEntry,
+    WithdrawalState,
 )
-from lifthinge.tables import bare, part_if_in, parts
+from lifthinge.table_shares import active_shares, has_no_active_entry, share_if_active
 
 # The mechanism, as the design page settles it.
 VIOLATOR_MARK, VIOLATOR_REPORTS = 1.5, 3  # times the median ratio, for so many reports in a row
@@ -116,10 +116,10 @@
 HEALED_PART = 0.3  # of the warm-up: a backend back from being shut eases in this fast
 
 
-class Choice:
+class Policy:
     """One instance's decisions."""
 
-    def __init__(self, terms: SiteTerms, seed: int) -> None:
+    def __init__(self, terms: SiteSettings, seed: int) -> None:
         self.terms, self.dice, self.soft = (
             terms,
             Random(seed),
@@ -134,14 +134,14 @@
         self.slices: dict[Slice, None] = {}  # in this instance's charge
         self.proxies: dict[Proxy, None] = {}  # joined
         self.notes = {  # what waits for a proxy that left counts until it is out for sure
-            ByHand: self._note_by_hand,
+            OperatorOverrides: self._note_by_hand,
             FleetNews: self._note_fleet,
             ProxyJoined: self._note_join,
-            TriesReport: self._note_tries,
-            SliceHeat: self._note_heat,
-            Leased: self._note_lease,
-            StoredLine: self._note_line,
-            OutStands: self._note_out,
+            AttemptReport: self._note_tries,
+            SliceHeatReport: self._note_heat,
+            SliceLeaseChanged: self._note_lease,
+            StoredEntry: self._note_line,
+            WithdrawalState: self._note_out,
             ProxyLeft: lambda event: self.proxies.pop(event.proxy, None),
             ChannelState: lambda event: setattr(self, "way", event),
             SealConfirmed: lambda event: self.channel.confirmed(event.seal, event.proxy),
@@ -183,7 +183,7 @@
     # What is known.
 
     def _note_fleet(self, news: FleetNews) -> None:
-        if news.form is Form.MISSED:
+        if news.form is FleetNewsKind.MISSED:
             self.follow_at = self.now + ROUND_EVERY * (1 + self.dice.random())
             return
         listed = {}
@@ -198,7 +198,7 @@
             backend.zone, backend.listed, backend.started = entry.zone, entry.phase, entry.started
             backend.told_size = entry.size if self.terms.sizes_told and entry.size > 0 else 1.0
         for backend in (
-            b for b in self.backends if news.form is not Form.DELTA and b not in listed
+            b for b in self.backends if news.form is not FleetNewsKind.DELTA and b not in listed
         ):
             backend.listed = Phase.GONE
         self._settle()
@@ -211,7 +211,7 @@
             for high in (False, True)
         ]
 
-    def _note_by_hand(self, event: ByHand) -> None:
+    def _note_by_hand(self, event: OperatorOverrides) -> None:
         self.by_hand, self.shares = dict.fromkeys(event.out), event.shares
         if (ranks := self._rank(event.criticality)) != self.ranks:
             self.ranks, self.levels_due = (
@@ -239,7 +239,9 @@
             backend.phase = Phase.DRAINING if held else backend.listed
             backend.size = backend.told_size * self.shares.get(backend.zone, 1.0)
         if self.by_hand and not acts:
-            self.said.append(Say("out of service by hand does not act: nobody warm would be left"))
+            self.said.append(
+                LogDecision("out of service by hand does not act: nobody warm would be left")
+            )
         self.dirty = True
 
     def _forget(self, backend: Backend) -> None:
@@ -256,7 +258,7 @@
         self.untold_at = self.untold_at if self.untold else self.now + PUSH_AFTER * JOINS_GATHER
         self.untold.update(dict.fromkeys(backends))
 
-    def _note_tries(self, report: TriesReport) -> None:
+    def _note_tries(self, report: AttemptReport) -> None:
         # No report counts for much more than the others do of late: many sane ones outweigh a wild one.
         backend, usual = report.backend, self.usual or report.total
         part = min(max(2 * WILD * usual, BAD_LEAST) / max(report.total, 1), 1.0)
@@ -267,7 +269,7 @@
         backend.ok, backend.aborted = backend.ok + ok, backend.aborted + total - ok
         backend.took_sum += ok * report.took
 
-    def _note_heat(self, report: SliceHeat) -> None:
+    def _note_heat(self, report: SliceHeatReport) -> None:
         one = report.slice
         one.let_in += report.total * one.levels[report.method in self.ranks[1]]
         most = max(sum(s.heat or 0.0 for s in self.slices), WILD * (one.heat or 0.0))  # of all
@@ -277,7 +279,7 @@
             self.now,
         )
 
-    def _note_lease(self, event: Leased) -> None:
+    def _note_lease(self, event: SliceLeaseChanged) -> None:
         one = event.slice
         self.plan.pop(one, None), self.slices.pop(one, None)
         one.held, one.lines, one.owner, one.wanted, one.heat = event.given, {}, None, {}, None
@@ -286,7 +288,7 @@
             self.slices[one], self.levels_due = None, True
         self.dirty = True
 
-    def _note_line(self, event: StoredLine) -> None:
+    def _note_line(self, event: StoredEntry) -> None:
         one = event.slice
         if one.held and event.weight > 0:
             self.backends[event.backend], one.lines[event.backend] = None, event.weight
@@ -296,7 +298,7 @@
                 self._tell_again([event.backend])
             one.owner = max(one.lines, key=lambda b: (b.phase is Phase.READY, one.lines[b]))
 
-    def _note_out(self, event: OutStands) -> None:
+    def _note_out(self, event: WithdrawalState) -> None:
         self.backends[event.backend], event.backend.shut_out, self.dirty = None, event.out, True
 
     # What it means.
@@ -357,7 +359,7 @@
                     one.rates[method] = rate / 2, self.now - self.horizon
             one.heat = sum(rate for rate, _ in one.rates.values()) if one.rates else one.heat
             if one.moved_at is None or self.now - one.moved_at > SETTLED_AFTER * self.horizon:
-                for backend, part in parts(one.lines).items():
+                for backend, part in active_shares(one.lines).items():
                     backend.asked += one.let_in * part
             one.let_in = 0.0
         for backend in self.backends:
@@ -375,7 +377,7 @@
         """Forgets who is gone and named nowhere: each start may bring new ids, for good."""
         if gone := {b for b in self.backends if b.phase is Phase.GONE} - set(self.plan.values()):
             gone.difference_update(*([*s.lines, *s.wanted, s.owner] for s in self.slices))
-            self.said += [Forget(b) for b in self.backends if b in gone and b.shut_out]
+            self.said += [ForgetBackend(b) for b in self.backends if b in gone and b.shut_out]
             self.backends = {b: None for b in self.backends if b not in gone or not b.shut_out}
 
     def _measure(self, backend: Backend) -> None:
@@ -479,7 +481,7 @@
             return
         for backend in sick:
             self.said.append(
-                Say(
+                LogDecision(
                     f"shut out {backend.name}: {judged.get(backend, 0):.0%} of its tries"
                     f" went wrong, {backend.dry:.0f} asked since one went well"
                 )
@@ -583,7 +585,7 @@
     def _move(self, one: Slice, target: Backend) -> None:
         source, rate = one.owner, one.heat * 1000
         self.said.append(
-            Say(
+            LogDecision(
                 f"move slice {one.number} of heat {rate:.1f}/s from {source.name}"
                 f" ({source.ratio or 0:.1f}) to {target.name} ({target.ratio or 0:.1f})"
             )
@@ -614,7 +616,7 @@
             one.heat = sum(known) / len(known) if one.heat is None else one.heat
             if one.owner:
                 one.owner.home_heat += one.heat
-            for backend, part in parts(one.lines).items():
+            for backend, part in active_shares(one.lines).items():
                 backend.heat += one.heat * part
 
     def _room(self, backend: Backend, one: Slice) -> bool:
@@ -687,26 +689,26 @@
             ),
         )
 
-    def _owe(self, one: Slice) -> list[SetLine]:
+    def _owe(self, one: Slice) -> list[SetEntry]:
         """The fewest lines that bring a table to what is wanted, as each goes to every proxy.
 
         Others that are a trace beside the main one stay.
         """
         want, have = one.wanted, one.lines
         stale = (
-            [] if self.terms.one_owner else [SetLine(one, b, 0.0) for b in have if b not in want]
+            [] if self.terms.one_owner else [SetEntry(one, b, 0.0) for b in have if b not in want]
         )
         dead = [
             o
             for o in stale
             if o.backend.phase is not Phase.READY
-            and part_if_in(have, o.backend) > NEAR
+            and share_if_active(have, o.backend) > NEAR
             or self._open(o.backend)
             and o.backend.shut_out
             and self._share(o.backend) < 1
         ]
         if not self.terms.sliced or self.terms.one_owner:
-            return [SetLine(one, b, w) for b, w in want.items() if have.get(b) != w] + stale
+            return [SetEntry(one, b, w) for b, w in want.items() if have.get(b) != w] + stale
         main = max(want, key=want.get)
         top = have.get(main, 0.0)
         other = max((have[o.backend] for o in stale if o.backend.phase is Phase.READY), default=0.0)
@@ -714,13 +716,13 @@
             top = max(have.values()) / SPARE_WEIGHT if have else 1.0
         if top > WEIGHT_MOST:
             return [
-                SetLine(one, b, max(w / want[main], SPARE_WEIGHT)) for b, w in want.items()
+                SetEntry(one, b, max(w / want[main], SPARE_WEIGHT)) for b, w in want.items()
             ] + stale
         owed = []
         for backend, part in want.items():
             weight, present = max(part / want[main], SPARE_WEIGHT), have.get(backend, 0.0) / top
             if not present or abs(present - weight) > NEAR * (weight > SPARE_WEIGHT) + SPARE_WEIGHT:
-                owed.append(SetLine(one, backend, weight * top))
+                owed.append(SetEntry(one, backend, weight * top))
         return (
             owed
             + dead
@@ -734,7 +736,7 @@
         self._want()
         for one in self.slices:
             one.owed = (self._owe(one) if one.wanted else []) + self._owe_levels(one)
-            live = parts(one.lines)
+            live = active_shares(one.lines)
             one.shifts = self._levels(one) != one.levels or any(
                 abs(live.get(b, 0.0) - part) > NEAR for b, part in one.wanted.items()
             )
@@ -810,7 +812,7 @@
                     else kept + 1
                 )
             ):
-                orders.append(ShutOut(backend, True))
+                orders.append(SetWithdrawn(backend, True))
                 backend.shut_out, self.dirty, room = True, True, room - 1
         # Who joined late has missed the withdrawals so far. They go together, as each push costs its head,
         # those first whom most RPCs would reach. A further message that withdraws a batch always has room.
@@ -821,19 +823,19 @@
         if self.now >= self.untold_at and room - more > worth(len(missed), more):
             missed.sort(
                 key=lambda b: (
-                    -max(part_if_in(one.lines, b) for one in self.slices if b in one.lines)
+                    -max(share_if_active(one.lines, b) for one in self.slices if b in one.lines)
                 )
             )
             told, self.untold = (
                 missed[: int(room - more)],
                 dict.fromkeys(missed[int(room - more) :]),
             )
-            orders += [ShutOut(b, True) for b in told]
+            orders += [SetWithdrawn(b, True) for b in told]
             room, missed = room - len(told), missed[len(told) :]
         if self.dirty:
             self._list_owed()
         # Nobody is left without a line: not by a withdrawal now, nor by one before the slice was given.
-        stripped = [one for one in self.owed if bare(one.lines)]
+        stripped = [one for one in self.owed if has_no_active_entry(one.lines)]
         if room - spared > worth(len(stripped), spared):  # their main lines only: the rest can wait
             for one in stripped:
                 one.owed = sorted(one.owed, key=lambda order: -getattr(order, "weight", 0.0))[:1]
@@ -846,7 +848,9 @@
             ):  # only after a try that never ran: no effect comes twice
                 self.levels_due, room = False, room - 1
                 orders.append(
-                    SetLevel(self.ranks[0] + self.ranks[1], None, LET_ALL, Retry.NEVER_RAN)
+                    SetAdmissionLevel(
+                        self.ranks[0] + self.ranks[1], None, LET_ALL, RetryMode.NEVER_RAN
+                    )
                 )
             if orders or room > worth(sum(len(one.owed) for one in self.owed), back):
                 room = self._pay(self.owed, room, orders)
@@ -858,14 +862,17 @@
                 and (
                     not self._over(backend)
                     or self._share(backend) >= 1
-                    and any(backend in one.lines and bare(one.lines) for one in self.slices)
+                    and any(
+                        backend in one.lines and has_no_active_entry(one.lines)
+                        for one in self.slices
+                    )
                 )
             ):
                 backend.shut_out, self.dirty, room = False, True, room - 1
                 self._forget(backend)
                 for one in (s for s in self.slices if backend in s.lines):
                     one.moved_at = self.now
-                orders.append(ShutOut(backend, False))
+                orders.append(SetWithdrawn(backend, False))
         for proxy in self.proxies if self.way.free and not self.terms.sliced else ():
             orders += [
                 BindProxy(one, proxy) for one in self.slices if one.lines and not proxy.bound
@@ -880,10 +887,10 @@
         if self.plan and not any(one.owed and one.shifts for one in self.plan) and self._may_push():
             self.plan.clear()
         if self.now >= self.follow_at:
-            self.follow_at, orders = NEVER, [*orders, FollowList(True)]
+            self.follow_at, orders = NEVER, [*orders, FollowFleetList(True)]
         if self.now >= self.wake_at:
             self.wake_at = self.now + (beat := min(self.terms.report_every, ROUND_EVERY) / 2)
-            orders.append(Wake(beat, 0))
+            orders.append(SetTimer(beat, 0))
         return orders
 
     def _must_out(self, backend: Backend) -> bool:
@@ -901,7 +908,7 @@
     def _over(self, backend: Backend) -> bool:
         """Whether a table gives a backend more than is wanted; a trace brings the cold what others refuse."""
         return any(
-            part_if_in(one.lines, backend) - NEAR
+            share_if_active(one.lines, backend) - NEAR
             > one.wanted.get(backend, 0.0) / (sum(one.wanted.values()) or 1.0)
             or self._share(backend) < 1
             and backend not in one.wanted
@@ -917,7 +924,7 @@
             room, orders[len(orders) :] = room - len(one.owed), one.owed
             one.moved_at = self.now if one.shifts else one.moved_at
             for order in one.owed:
-                if type(order) is SetLevel:
+                if type(order) is SetAdmissionLevel:
                     one.levels = self._levels(one)
                 else:
                     one.lines = {
@@ -940,9 +947,9 @@
         levels = max(1.0 - cut / low, 0.0), 1.0 - max(cut - low, 0.0) / max(1.0 - low, 0.1)
         return tuple(round(level * LEVELS) / LEVELS for level in levels)
 
-    def _owe_levels(self, one: Slice) -> list[SetLevel]:
+    def _owe_levels(self, one: Slice) -> list[SetAdmissionLevel]:
         return [
-            SetLevel(methods, one, part, Retry.NEVER_RAN)
+            SetAdmissionLevel(methods, one, part, RetryMode.NEVER_RAN)
             for methods, part, former in zip(self.ranks, self._levels(one), one.levels)
             if methods and part != former
         ]
--- a/lifthinge/schema.py
+++ b/lifthinge/schema.py
@@ -4,7 +4,7 @@
 
 from pydantic import BaseModel, ValidationError
 
-from lifthinge.nearest import nearest
+from lifthinge.closest_name import closest_name
 
 
 class Fault(NamedTuple):
@@ -30,7 +30,7 @@
         if isinstance(part, str) and part in fields:
             known = _model_in(fields[part].annotation)
             fields = known.model_fields if known else {}
-    like = nearest(str(first["loc"][-1]), fields)
+    like = closest_name(str(first["loc"][-1]), fields)
     return Fault(key, f"unknown; did you mean {like}?" if like else "unknown")
 
 
--- a/lifthinge/service/agreed.py
+++ b/lifthinge/service/agreed.py
@@ -10,17 +10,17 @@
 from lifthinge.cluster import talk
 from lifthinge.cluster.follower import AgreedFollower
 from lifthinge.cluster.keys import KeyFile, NoKeys, read_keys
-from lifthinge.interface import ByHand, Event
+from lifthinge.interface import Event, OperatorOverrides
 from lifthinge.memory.books import Books
 from lifthinge.memory.world import World
 from lifthinge.operators import AgreedPart, split_address
-from lifthinge.terms import SiteMap
+from lifthinge.settings import SiteLayout
 
 log = logging.getLogger(__name__)
 
 
 class AgreedDoor:
-    """Makes the event `ByHand` of the document that is obeyed, whenever it or the list of backends changes."""
+    """Makes the event `OperatorOverrides` of the document that is obeyed, whenever it or the list of backends changes."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         name: str,
         books: Books,
         world: World,
-        site: SiteMap,
+        site: SiteLayout,
         tell: Callable[[list[Event]], None],
         keys: KeyFile,
     ) -> None:
@@ -58,7 +58,7 @@
         )
         self.tell([self.event()])
 
-    def event(self) -> ByHand:
+    def event(self) -> OperatorOverrides:
         """What the document says now, in objects; names that this deployment does not know mean nothing to it."""
         document, now = self.document or Document(), self.books.now
         out = [one for one in document.backends if not one.until or one.until > now]
@@ -71,7 +71,7 @@
             else None
         )
         zones, methods = self.site.zones, self.site.methods
-        return ByHand(
+        return OperatorOverrides(
             [found for one in out if (found := self.world.backend(one.id))],
             {zones.index(one.name): one.share for one in document.zones if one.name in zones},
             {
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -9,28 +9,28 @@
 from lifthinge.interface import (
     ChannelState,
     Event,
-    FetchList,
+    FetchFleetList,
     FleetNews,
-    FollowList,
-    Forget,
-    Form,
-    Leased,
+    FleetNewsKind,
+    FollowFleetList,
+    ForgetBackend,
     Listing,
+    LogDecision,
     Order,
-    OutStands,
     Phase,
     Probe,
     ProxyJoined,
     ProxyLeft,
     RepeatCall,
-    Say,
     SealConfirmed,
-    SetLine,
-    ShutOut,
-    StoredLine,
-    TellPeers,
+    SendToPeers,
+    SetEntry,
+    SetTimer,
+    SetWithdrawn,
+    SliceLeaseChanged,
+    StoredEntry,
     TimerDue,
-    Wake,
+    WithdrawalState,
 )
 from lifthinge.memory.books import Books
 from lifthinge.memory.calls import Calls
@@ -58,7 +58,7 @@
 
 
 class Decider(Protocol):
-    """What decides: `lifthinge.choice.Choice`."""
+    """What decides: `lifthinge.policy.Policy`."""
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]: ...
 
@@ -110,16 +110,16 @@
         self._events: list[Event] = []
         self._tasks: dict[asyncio.Task, str] = {}
         self._carry: dict[type, Callable[[Any], None]] = {
-            Wake: lambda o: self.books.deadlines.set(
+            SetTimer: lambda o: self.books.deadlines.set(
                 o.delay, lambda: self.tell([TimerDue(o.handle)])
             ),
             Probe: lambda o: self.probes.probe(o.backend),
-            TellPeers: lambda o: self.peers.send(o.peer, o.content),
+            SendToPeers: lambda o: self.peers.send(o.peer, o.content),
             RepeatCall: lambda o: self.relay.repeat(o.seal),
-            Say: lambda o: log.info("decided", {"what": o.text}),
-            FollowList: lambda o: self._follow(o.on),
-            Forget: lambda o: self.world.forget(o.backend),
-            FetchList: lambda o: self._run("fetch", self.discovery.fetch),
+            LogDecision: lambda o: log.info("decided", {"what": o.text}),
+            FollowFleetList: lambda o: self._follow(o.on),
+            ForgetBackend: lambda o: self.world.forget(o.backend),
+            FetchFleetList: lambda o: self._run("fetch", self.discovery.fetch),
         }
 
     async def start(self) -> None:
@@ -203,7 +203,7 @@
                 self.world.joined[event.proxy], event.proxy.bound = event.first_time, False
             elif isinstance(event, ProxyLeft):
                 self.world.joined.pop(event.proxy, None)
-            elif isinstance(event, Leased):
+            elif isinstance(event, SliceLeaseChanged):
                 self.calls.slice_gone(event.slice)
                 self.world.held.pop(event.slice, None)
                 if event.given:
@@ -216,22 +216,32 @@
         """A whole call was given up: tables are told anew, withdrawals stand as they did before."""
         self.news.renew()
         self.tell(
-            [OutStands(one.backend, not one.out) for one in orders if isinstance(one, ShutOut)]
+            [
+                WithdrawalState(one.backend, not one.out)
+                for one in orders
+                if isinstance(one, SetWithdrawn)
+            ]
         )
 
     def _refused(self, order: Order) -> None:
         """The relay could not use an order, as it knows no such backend: the decisions hear what stands instead."""
-        if isinstance(order, SetLine) and order.slice in self.world.held:
+        if isinstance(order, SetEntry) and order.slice in self.world.held:
             gone = Listing(
                 order.backend, order.backend.zone, 0, Phase.GONE, 0.0, order.backend.size
             )
             self.world.listed.pop(order.backend, None)
             lines = [
-                StoredLine(order.slice, backend, weight)
+                StoredEntry(order.slice, backend, weight)
                 for backend, weight in order.slice.lines.items()
                 if backend is not order.backend
             ]
-            self.tell([FleetNews(Form.DELTA, [gone]), Leased(order.slice, True), *lines])
+            self.tell(
+                [
+                    FleetNews(FleetNewsKind.DELTA, [gone]),
+                    SliceLeaseChanged(order.slice, True),
+                    *lines,
+                ]
+            )
 
     def _turn(self) -> None:
         events, self._events, self._turn_due = self._events, [], False
--- a/lifthinge/service/environment.py
+++ b/lifthinge/service/environment.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, fields
 from typing import Any
 
-from lifthinge.interface import SiteTerms
-from lifthinge.terms import BadTerms, SiteMap, read_map, read_terms
+from lifthinge.interface import SiteSettings
+from lifthinge.settings import SettingsError, SiteLayout, read_layout, read_settings
 from lifthinge.wire.door import address
 
 SOCKETS_LEAST, MEMORY_LEAST = 64, 24
@@ -39,8 +39,8 @@
     sockets: int
     memory_mb: float
     known: dict[str, Any]
-    terms: SiteTerms
-    site: SiteMap
+    terms: SiteSettings
+    site: SiteLayout
 
 
 def read_place(environment: Mapping[str, str], anew: bool = False) -> Place:
@@ -71,8 +71,8 @@
     )
     limits = _part(conf, "limits")
     try:
-        terms, site = read_terms(conf.get("settings")), read_map(conf.get("settings"))
-    except BadTerms as error:
+        terms, site = read_settings(conf.get("settings")), read_layout(conf.get("settings"))
+    except SettingsError as error:
         raise BadStart("settings", str(error)) from None
     peers = conf.get("peers", []) if site.peers else []
     if not isinstance(peers, list):
--- a/lifthinge/service/run.py
+++ b/lifthinge/service/run.py
@@ -10,11 +10,11 @@
 from random import Random
 from typing import TYPE_CHECKING, Optional
 
-from lifthinge.choice import Choice
 from lifthinge.memory.books import Books
 from lifthinge.memory.counters import Counters, Notices
 from lifthinge.memory.deadlines import Deadlines
 from lifthinge.memory.slots import Slots
+from lifthinge.policy import Policy
 from lifthinge.service import logs
 from lifthinge.service.controller import Controller, Decider
 from lifthinge.service.environment import BadStart, Place, read_place
@@ -92,7 +92,7 @@
 
 def decider(place: Place, books: Books, operators: Optional["Operators"]) -> Decider:
     """The decisions, behind a capture where the operators' file asks for one."""
-    choice = Choice(place.terms, place.seed)
+    choice = Policy(place.terms, place.seed)
     if operators is None or operators.capture is None:
         return choice
     from lifthinge.capture.capture import open_capture
@@ -126,7 +126,7 @@
         await over.wait()
     finally:
         controller.stop()
-        if not isinstance(choice, Choice):
+        if not isinstance(choice, Policy):
             choice.close()
     log.info("stopped", counters(books))
 
--- a/lifthinge/terms.py
+++ b/lifthinge/settings.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lifthinge.interface import Method, SiteTerms
+from lifthinge.interface import Method, SiteSettings
 
 MS = 1000.0
 NOISE_MOST = 2.0  # times the true mean: reports are a little noisy
@@ -12,12 +12,12 @@
 BACKENDS_LARGER = 2  # times the connections of the smallest backend
 
 
-class BadTerms(Exception):
+class SettingsError(Exception):
     """The settings can't be used; the text names the key."""
 
 
 @dataclass(frozen=True)
-class SiteMap:
+class SiteLayout:
     """The names that a site uses, and what it has."""
 
     zones: tuple[str, ...]
@@ -34,22 +34,22 @@
     news_on_request: bool
 
 
-def read_terms(conf: Any) -> SiteTerms:
+def read_settings(conf: Any) -> SiteSettings:
     """The site's terms out of the settings.
 
-    >>> read_terms({})
+    >>> read_settings({})
     Traceback (most recent call last):
         ...
-    lifthinge.terms.BadTerms: settings lack the key 'Specifics'
-    >>> read_terms(None)
+    lifthinge.settings.SettingsError: settings lack the key 'Specifics'
+    >>> read_settings(None)
     Traceback (most recent call last):
         ...
-    lifthinge.terms.BadTerms: settings have a value of the wrong kind: 'NoneType' object is not subscriptable
+    lifthinge.settings.SettingsError: settings have a value of the wrong kind: 'NoneType' object is not subscriptable
     """
     return _checked(_terms, conf)
 
 
-def read_map(conf: Any) -> SiteMap:
+def read_layout(conf: Any) -> SiteLayout:
     """The names and ways of the site out of the settings."""
     return _checked(_map, conf)
 
@@ -58,14 +58,14 @@
     try:
         return read(conf)
     except KeyError as error:
-        raise BadTerms(f"settings lack the key {error}") from None
+        raise SettingsError(f"settings lack the key {error}") from None
     except (TypeError, AttributeError, IndexError, ValueError, OverflowError) as error:
-        raise BadTerms(f"settings have a value of the wrong kind: {error}") from None
+        raise SettingsError(f"settings have a value of the wrong kind: {error}") from None
 
 
-def _terms(conf: dict[str, Any]) -> SiteTerms:
+def _terms(conf: dict[str, Any]) -> SiteSettings:
     special, rules = conf["Specifics"], conf["Rules"]
-    return SiteTerms(
+    return SiteSettings(
         methods=tuple(
             Method(one["Target"] * MS, one["Deadline"] * MS, one["Worth"])
             for one in conf["Services"]
@@ -87,7 +87,7 @@
     )
 
 
-def _map(conf: dict[str, Any]) -> SiteMap:
+def _map(conf: dict[str, Any]) -> SiteLayout:
     """A sane report stays within what the settings let happen.
 
     No try outlives the longest deadline; sums wait while others get in, a hundred periods at most; and one
@@ -96,7 +96,7 @@
     special, services = conf["Specifics"], conf["Services"]
     multiplex = max(conf["Limits"].get("Multiplex", 1), 1)
     at_once = special.get("ConnsLeast", float("inf")) * BACKENDS_LARGER * multiplex
-    return SiteMap(
+    return SiteLayout(
         zones=tuple(conf["Zones"]),
         methods=tuple(one["Name"] for one in conf["Services"]),
         load_fields=tuple(conf.get("Report", {}).get("Fields", ())),
--- a/lifthinge/lowest.py
+++ b/lifthinge/sliding_minimum.py
@@ -3,10 +3,10 @@
 from collections import deque
 
 
-class Lowest:
+class SlidingWindowMinimum:
     """Keeps what may yet be the lowest, oldest first.
 
-    >>> low = Lowest()
+    >>> low = SlidingWindowMinimum()
     >>> low.add(0.0, 5.0); low.add(1.0, 9.0); low.value()
     5.0
     >>> low.forget(0.5); low.value()
--- a/lifthinge/tables.py
+++ b/lifthinge/table_shares.py
@@ -3,11 +3,11 @@
 from lifthinge.interface import Backend
 
 
-def parts(lines: dict[Backend, float]) -> dict[Backend, float]:
+def active_shares(lines: dict[Backend, float]) -> dict[Backend, float]:
     """How RPCs divide over the lines that are not withdrawn.
 
     >>> a, b, c = Backend("a", "a"), Backend("b", "b"), Backend("c", "c", shut_out=True)
-    >>> [(x.ep, part) for x, part in parts({a: 3.0, b: 1.0, c: 9.0}).items()]
+    >>> [(x.ep, part) for x, part in active_shares({a: 3.0, b: 1.0, c: 9.0}).items()]
     [('a', 0.75), ('b', 0.25)]
     """
     live = {backend: weight for backend, weight in lines.items() if not backend.shut_out}
@@ -15,11 +15,11 @@
     return {backend: weight / total for backend, weight in live.items()}
 
 
-def part_if_in(lines: dict[Backend, float], backend: Backend) -> float:
+def share_if_active(lines: dict[Backend, float], backend: Backend) -> float:
     """What part a backend has, or would have, were it let in.
 
     >>> a, c = Backend("a", "a"), Backend("c", "c", shut_out=True)
-    >>> part_if_in({a: 1.0, c: 3.0}, c), part_if_in({a: 1.0}, c)
+    >>> share_if_active({a: 1.0, c: 3.0}, c), share_if_active({a: 1.0}, c)
     (0.75, 0.0)
     """
     own = lines.get(backend, 0.0)
@@ -29,6 +29,6 @@
     return own / (own + beside) if own else 0.0
 
 
-def bare(lines: dict[Backend, float]) -> bool:
+def has_no_active_entry(lines: dict[Backend, float]) -> bool:
     """Whether no line is left that is not withdrawn."""
     return all(backend.shut_out for backend in lines)
--- a/lifthinge/wire/discovery.py
+++ b/lifthinge/wire/discovery.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from lifthinge.interface import FleetNews, Form, Listing, Phase
+from lifthinge.interface import FleetNews, FleetNewsKind, Listing, Phase
 from lifthinge.memory.attempts import Cause, Failure, Reach
 from lifthinge.memory.books import Books
 from lifthinge.memory.world import World
@@ -79,7 +79,7 @@
                 if watch not in self._watches[-1:]:  # there is a newer address
                     return
                 if self.door.site.news_on_request:
-                    self.tell(FleetNews(Form.MISSED, []))
+                    self.tell(FleetNews(FleetNewsKind.MISSED, []))
                     return
                 if failures > 1:
                     await self.books.pause(
@@ -97,7 +97,7 @@
     async def fetch(self) -> None:
         """One call for the whole list."""
         if await self._call(self._list, False) is not None:
-            self.tell(FleetNews(Form.MISSED, []))
+            self.tell(FleetNews(FleetNewsKind.MISSED, []))
 
     async def _call(self, caller: Caller, since: bool, wait: int = WATCH_WAIT) -> Failure | None:
         path = names.LIST_PATH + (
@@ -131,7 +131,7 @@
         listings, _ = self._read(found[2])
         self.world.version = found[0]
         self._keep(listings)
-        self.tell(FleetNews(Form.CACHED, listings))
+        self.tell(FleetNews(FleetNewsKind.CACHED, listings))
         return None
 
     def _take(self, message: dict, first: bool) -> Skip | None:
@@ -164,7 +164,7 @@
         self.world.version, self.answered = version, True
         self._keep(changed)
         if changed or first:
-            self.tell(FleetNews(Form.DELTA, changed))
+            self.tell(FleetNews(FleetNewsKind.DELTA, changed))
         return None
 
     def _read(self, entries: list) -> tuple[list[Listing], set]:
--- a/lifthinge/wire/door.py
+++ b/lifthinge/wire/door.py
@@ -5,29 +5,29 @@
 from typing import Any
 
 from lifthinge.interface import (
+    AttemptReport,
     Backend,
     BindProxy,
     ClearTable,
     Event,
-    Leased,
     Listing,
     Phase,
     Proxy,
     ProxyJoined,
     ProxyLeft,
-    ProxyLoad,
+    ProxyLoadReport,
     Seal,
     SealConfirmed,
-    SetLevel,
-    SetLine,
-    ShutOut,
+    SetAdmissionLevel,
+    SetEntry,
+    SetWithdrawn,
     Slice,
-    SliceHeat,
-    StoredLine,
-    TriesReport,
+    SliceHeatReport,
+    SliceLeaseChanged,
+    StoredEntry,
 )
 from lifthinge.memory.world import World
-from lifthinge.terms import SiteMap
+from lifthinge.settings import SiteLayout
 from lifthinge.wire import names
 from lifthinge.wire.frames import Skip
 
@@ -126,7 +126,7 @@
 class Door:
     """Knows the site's names and the world's ids."""
 
-    def __init__(self, site: SiteMap, world: World) -> None:
+    def __init__(self, site: SiteLayout, world: World) -> None:
         self.site, self.world = site, world
         self._reports: dict[str, Callable[[Fields], Event]] = {
             names.TRIES: self._tries,
@@ -141,7 +141,7 @@
             names.LINE: self._line,
         }
         self._orders: dict[type, Callable[[Any], dict[str, Any]]] = {
-            SetLine: lambda o: {
+            SetEntry: lambda o: {
                 names.DO: names.SET,
                 names.TABLE: o.slice.number,
                 names.BACKEND: o.backend.ep,
@@ -153,11 +153,11 @@
                 names.TABLE: o.slice.number,
                 names.PROXY: o.proxy.number,
             },
-            ShutOut: lambda o: {
+            SetWithdrawn: lambda o: {
                 names.DO: names.OUT if o.out else names.IN,
                 names.BACKEND: o.backend.ep,
             },
-            SetLevel: self._level,
+            SetAdmissionLevel: self._level,
             Seal: lambda o: {
                 names.DO: names.SEAL,
                 names.SEAL_SET: o.number,
@@ -247,7 +247,7 @@
     def _tries(self, f: Fields) -> Event:
         total, failed, span = self._counts(f)
         took = f.number(names.TOOK, _REQUIRED if total > failed else 0.0, self.site.took_most)
-        return TriesReport(
+        return AttemptReport(
             f.place(names.ZONE, self.site.zones),
             self._backend(f),
             total,
@@ -267,13 +267,15 @@
         return total, failed, span
 
     def _heat(self, f: Fields) -> Event:
-        return SliceHeat(self._slice(f), f.place(names.METHOD, self.site.methods), *self._counts(f))
+        return SliceHeatReport(
+            self._slice(f), f.place(names.METHOD, self.site.methods), *self._counts(f)
+        )
 
     def _proxy_load(self, f: Fields) -> Event:
         proxy = self._proxy(f)
         if proxy not in self.world.joined:
             raise _Unfit("the proxy has not joined")
-        return ProxyLoad(proxy, f.place(names.METHOD, self.site.methods), *self._counts(f))
+        return ProxyLoadReport(proxy, f.place(names.METHOD, self.site.methods), *self._counts(f))
 
     def _joined(self, f: Fields) -> Event:
         number, zone = (
@@ -296,14 +298,14 @@
         return SealConfirmed(self._proxy(f), seal, f.number(names.SEAL_TOOK, 0.0))
 
     def _leased(self, f: Fields) -> Event:
-        return Leased(self._slice(f), f.flag(names.GIVEN))
+        return SliceLeaseChanged(self._slice(f), f.flag(names.GIVEN))
 
     def _line(self, f: Fields) -> Event:
         backend = self.world.backend(f.text(names.BACKEND))
         if backend is None:
             raise _Unfit("one backend too many")
         # The relay tells weights to three places: a line that stands has one, though it is told as 0.
-        return StoredLine(self._slice(f), backend, max(f.number(names.SIZE), WEIGHT_LEAST))
+        return StoredEntry(self._slice(f), backend, max(f.number(names.SIZE), WEIGHT_LEAST))
 
     def _listing(self, f: Fields) -> Listing:
         name, state = f.text(names.ID), f.text(names.PHASE)
@@ -325,7 +327,7 @@
             self.world.addresses[backend] = where
         return Listing(backend, zone, int(f.number(names.CELL, 0.0)), phase, started, size)
 
-    def _level(self, order: SetLevel) -> dict[str, Any]:
+    def _level(self, order: SetAdmissionLevel) -> dict[str, Any]:
         methods = [self.site.methods[place] for place in order.methods]
         return {
             names.DO: names.LEVEL,
--- a/lifthinge/wire/news.py
+++ b/lifthinge/wire/news.py
@@ -7,7 +7,7 @@
 import asyncio
 from collections.abc import Callable
 
-from lifthinge.interface import Event, Leased, SealConfirmed, StoredLine
+from lifthinge.interface import Event, SealConfirmed, SliceLeaseChanged, StoredEntry
 from lifthinge.memory.attempts import Cause, Failure, Reach
 from lifthinge.memory.books import Books
 from lifthinge.memory.calls import Calls
@@ -178,13 +178,13 @@
 
     def _pass(self, event: Event) -> None:
         """Hands an event on; a slice just given waits for its lines, or it would pass for a bare one."""
-        if isinstance(event, Leased) and event.given:
+        if isinstance(event, SliceLeaseChanged) and event.given:
             if (
                 event.slice in self.world.held
             ):  # nothing may be ordered for it on its old lines meanwhile
-                self.tell([Leased(event.slice, False)])
+                self.tell([SliceLeaseChanged(event.slice, False)])
             self._given[event.slice] = [event]
-        elif isinstance(event, StoredLine) and event.slice in self._given:
+        elif isinstance(event, StoredEntry) and event.slice in self._given:
             self._given[event.slice].append(event)
         else:
             self._tell_given()
--- a/lifthinge/wire/peers.py
+++ b/lifthinge/wire/peers.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from lifthinge.interface import PeerNote
+from lifthinge.interface import PeerMessage
 from lifthinge.memory.books import Books
 
 DATAGRAM_MOST = 256
@@ -18,7 +18,7 @@
         peers: list[tuple[str, int]],
         everyone: tuple[str, int] | None,
         own: int,
-        tell: Callable[[PeerNote], None],
+        tell: Callable[[PeerMessage], None],
     ) -> None:
         self.books, self.peers, self.everyone, self.own, self.tell = (
             books,
@@ -65,7 +65,7 @@
             self.books.notices.note("datagram_too_long", bytes=len(data))
         else:
             self.books.counters.add("peers.heard")
-            self.tell(PeerNote(number, data))
+            self.tell(PeerMessage(number, data))
 
     def error_received(self, exc: Exception) -> None:
         self.books.counters.add("peers.errors")
--- a/lifthinge/wire/probes.py
+++ b/lifthinge/wire/probes.py
@@ -4,7 +4,7 @@
 import re
 from collections.abc import Callable
 
-from lifthinge.interface import Backend, Outcome, ProbeResult
+from lifthinge.interface import Backend, ProbeOutcome, ProbeResult
 from lifthinge.memory.attempts import Cause, Failure
 from lifthinge.memory.books import Books
 from lifthinge.memory.world import World
@@ -58,7 +58,7 @@
         self.tell(ProbeResult(backend, outcome(result), self.books.now - began, load))
 
 
-def outcome(result: Answer | Failure) -> Outcome:
+def outcome(result: Answer | Failure) -> ProbeOutcome:
     """
     >>> [outcome(Answer(status, b"")).value for status in (200, 503, 500)]
     ['ok', 'pushed_back', 'aborted']
@@ -67,12 +67,14 @@
     ['unreachable', 'unreachable', 'late', 'broken', 'aborted', 'unreachable', 'unreachable', 'unreachable']
     """
     if isinstance(result, Answer):
-        return {200: Outcome.OK, 503: Outcome.PUSHED_BACK}.get(result.status, Outcome.ABORTED)
+        return {200: ProbeOutcome.OK, 503: ProbeOutcome.PUSHED_BACK}.get(
+            result.status, ProbeOutcome.ABORTED
+        )
     return {
-        Cause.LATE: Outcome.LATE,
-        Cause.BROKEN: Outcome.BROKEN,
-        Cause.UNREADABLE: Outcome.ABORTED,
-    }.get(result.cause, Outcome.UNREACHABLE)
+        Cause.LATE: ProbeOutcome.LATE,
+        Cause.BROKEN: ProbeOutcome.BROKEN,
+        Cause.UNREADABLE: ProbeOutcome.ABORTED,
+    }.get(result.cause, ProbeOutcome.UNREACHABLE)
 
 
 def read_text(body: bytes) -> dict[str, float]:
--- a/lifthinge/wirehost/__main__.py
+++ b/lifthinge/wirehost/__main__.py
@@ -4,9 +4,9 @@
 import traceback
 from typing import BinaryIO
 
-from lifthinge.choice import Choice
-from lifthinge.interface import Event, Forget
-from lifthinge.terms import MS
+from lifthinge.interface import Event, ForgetBackend
+from lifthinge.policy import Policy
+from lifthinge.settings import MS
 from lifthinge.wirehost.codec import BadFrame, pack_record, pack_reply, read_batch, read_frame
 from lifthinge.wirehost.translate import Door, read_conf
 
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         self.lists: dict[int, list[tuple]] = {}
-        self.instances: dict[int, tuple[Door, Choice]] = {}
+        self.instances: dict[int, tuple[Door, Policy]] = {}
 
     def reply(self, body: bytes) -> bytes:
         """Plays one batch and gives the frame that answers it."""
@@ -27,7 +27,7 @@
                 self.lists[fields[0]] = fields[1]
             elif name == "Hello":
                 instance, seed, conf = fields
-                self.instances[instance] = Door(instance), Choice(read_conf(conf), seed)
+                self.instances[instance] = Door(instance), Policy(read_conf(conf), seed)
                 waiting[instance] = []
             elif name == "Kill":
                 self.instances.pop(fields[0], None)
@@ -55,7 +55,7 @@
             return [
                 door.pack(order)
                 for order in choice.decide(now, events)
-                if not isinstance(order, Forget)
+                if not isinstance(order, ForgetBackend)
             ]
         except Exception as error:  # whatever it is, the wire wants it reported
             traceback.print_exc(file=sys.stderr)
--- a/lifthinge/wirehost/translate.py
+++ b/lifthinge/wirehost/translate.py
@@ -6,59 +6,64 @@
 from typing import Any
 
 from lifthinge.interface import (
+    AttemptReport,
     Backend,
     BindProxy,
     ClearTable,
     Event,
-    FetchList,
+    FetchFleetList,
     FleetNews,
-    FollowList,
-    Form,
-    Leased,
+    FleetNewsKind,
+    FollowFleetList,
     Listing,
+    LogDecision,
     Order,
-    Outcome,
-    PeerNote,
+    PeerMessage,
     Phase,
     Probe,
+    ProbeOutcome,
     ProbeResult,
     Proxy,
     ProxyJoined,
     ProxyLeft,
-    ProxyLoad,
-    Say,
+    ProxyLoadReport,
     Seal,
     SealConfirmed,
-    SetLevel,
-    SetLine,
-    ShutOut,
-    SiteTerms,
+    SendToPeers,
+    SetAdmissionLevel,
+    SetEntry,
+    SetTimer,
+    SetWithdrawn,
+    SiteSettings,
     Slice,
-    SliceHeat,
-    StoredLine,
-    TellPeers,
+    SliceHeatReport,
+    SliceLeaseChanged,
+    StoredEntry,
     TimerDue,
-    TriesReport,
-    Wake,
 )
-from lifthinge.terms import MS, BadTerms, read_terms
+from lifthinge.settings import MS, SettingsError, read_settings
 from lifthinge.wirehost.codec import BadFrame, pack_record
 
-FORMS = {0: Form.DELTA, 1: Form.MISSED, 2: Form.FULL, 3: Form.CACHED}
+FORMS = {
+    0: FleetNewsKind.DELTA,
+    1: FleetNewsKind.MISSED,
+    2: FleetNewsKind.FULL,
+    3: FleetNewsKind.CACHED,
+}
 PHASES = {0: Phase.GONE, 1: Phase.READY, 2: Phase.DRAINING}
 OUTCOMES = {
-    10: Outcome.OK,
-    20: Outcome.ABORTED,
-    30: Outcome.PUSHED_BACK,
-    40: Outcome.LATE,
-    50: Outcome.UNREACHABLE,
-    60: Outcome.BROKEN,
+    10: ProbeOutcome.OK,
+    20: ProbeOutcome.ABORTED,
+    30: ProbeOutcome.PUSHED_BACK,
+    40: ProbeOutcome.LATE,
+    50: ProbeOutcome.UNREACHABLE,
+    60: ProbeOutcome.BROKEN,
 }
 EVERY_TABLE = 65535
 EVERY_PEER = 0xFFFFFFFF
 
 
-def read_conf(conf: bytes) -> SiteTerms:
+def read_conf(conf: bytes) -> SiteSettings:
     """The site's terms out of the settings text.
 
     >>> read_conf(b"")
@@ -71,10 +76,10 @@
     lifthinge.wirehost.codec.BadFrame: settings lack the key 'Specifics'
     """
     try:
-        return read_terms(json.loads(conf))
+        return read_settings(json.loads(conf))
     except ValueError as error:
         raise BadFrame(f"settings are not JSON: {error}") from None
-    except BadTerms as error:
+    except SettingsError as error:
         raise BadFrame(str(error)) from None
 
 
@@ -100,30 +105,30 @@
         self.readers: dict[str, Callable[..., Event]] = {
             "Timer": TimerDue,
             "Sampled": self._probe,
-            "Memo": PeerNote,
+            "Memo": PeerMessage,
             "Joined": self._joined,
             "Disconnected": lambda proxy: ProxyLeft(self.proxy(proxy)),
             "Digest": self._tries,
             "Confirmed": lambda proxy, seal, took: SealConfirmed(
                 self.proxy(proxy), seal, took * MS
             ),
-            "Ingress": lambda proxy, total, method, failed, span: ProxyLoad(
+            "Ingress": lambda proxy, total, method, failed, span: ProxyLoadReport(
                 self.proxy(proxy), method, total, failed, span * MS
             ),
-            "SliceLoad": lambda total, number, method, failed, span: SliceHeat(
+            "SliceLoad": lambda total, number, method, failed, span: SliceHeatReport(
                 self.slice(number), method, total, failed, span * MS
             ),
-            "Leased": lambda number, given: Leased(self.slice(number), bool(given)),
-            "LedgerLine": lambda number, ep, weight: StoredLine(
+            "Leased": lambda number, given: SliceLeaseChanged(self.slice(number), bool(given)),
+            "LedgerLine": lambda number, ep, weight: StoredEntry(
                 self.slice(number), self.backend(ep), weight
             ),
         }
         self.writers: dict[type, Callable[[Any], bytes]] = {
-            SetLine: lambda o: self._pack("Assign", o.slice.number, o.backend.ep, o.weight),
+            SetEntry: lambda o: self._pack("Assign", o.slice.number, o.backend.ep, o.weight),
             ClearTable: lambda o: self._pack("Empty", o.slice.number),
             BindProxy: lambda o: self._pack("HandTable", o.slice.number, o.proxy.number, 0),
-            ShutOut: lambda o: self._pack("Withdraw", o.backend.ep, o.out),
-            SetLevel: lambda o: self._pack(
+            SetWithdrawn: lambda o: self._pack("Withdraw", o.backend.ep, o.out),
+            SetAdmissionLevel: lambda o: self._pack(
                 "Allow",
                 sum(1 << place for place in o.methods),
                 EVERY_TABLE if o.slice is None else o.slice.number,
@@ -131,14 +136,14 @@
                 int(o.retry),
             ),
             Seal: lambda o: self._pack("Seal", o.number, o.everyone),
-            Wake: lambda o: self._pack("SetTimer", o.delay / MS, o.handle),
+            SetTimer: lambda o: self._pack("SetTimer", o.delay / MS, o.handle),
             Probe: lambda o: self._pack("HealthCheck", o.backend.ep),
-            TellPeers: lambda o: self._pack(
+            SendToPeers: lambda o: self._pack(
                 "Post", EVERY_PEER if o.peer is None else o.peer, o.content
             ),
-            Say: lambda o: self._pack("Print", o.text.encode()[:400]),
-            FollowList: lambda o: self._pack("Track", o.on),
-            FetchList: lambda o: self._pack("Pull"),
+            LogDecision: lambda o: self._pack("Print", o.text.encode()[:400]),
+            FollowFleetList: lambda o: self._pack("Track", o.on),
+            FetchFleetList: lambda o: self._pack("Pull"),
         }
 
     def backend(self, ep: bytes) -> Backend:
@@ -160,7 +165,7 @@
             raise BadFrame(f"unknown form {form} of DirectoryUpdate")
         listings = []
         for _, ep, zone, cell, phase, started, size in (
-            rows if FORMS[form] is not Form.MISSED else ()
+            rows if FORMS[form] is not FleetNewsKind.MISSED else ()
         ):
             if phase not in PHASES:
                 raise BadFrame(f"unknown phase {phase} in a list")
@@ -185,7 +190,7 @@
 
     def _probe(self, took: float, status: int, ep: bytes, load: tuple[float, ...]) -> ProbeResult:
         return ProbeResult(
-            self.backend(ep), OUTCOMES.get(status, Outcome.ABORTED), _finite(took) * MS, load
+            self.backend(ep), OUTCOMES.get(status, ProbeOutcome.ABORTED), _finite(took) * MS, load
         )
 
     def _joined(self, number: int, first_time: int, size: float, zone: int) -> ProxyJoined:
@@ -202,8 +207,8 @@
         took: float,
         span: float,
         load: tuple[float, ...],
-    ) -> TriesReport:
+    ) -> AttemptReport:
         backend = self.backend(ep)
-        return TriesReport(
+        return AttemptReport(
             zone, backend, total, failed, _finite(took) * MS, _finite(span) * MS, load
         )
--- a/tests/check_capture.py
+++ b/tests/check_capture.py
@@ -9,16 +9,16 @@
 
 import msgspec
 
-from lifthinge import choice as choice_module
+from lifthinge import policy as policy_module
 from lifthinge.capture.against import Against, load_text
 from lifthinge.capture.anonymise import Names, anonymised
 from lifthinge.capture.capture import Capture
 from lifthinge.capture.codec import NAMED, Unreadable
 from lifthinge.capture.segments import BLOCK, HEAD, NoCapture, SegmentWriter, read_segment, segments
 from lifthinge.capture.turns import Recorder, Replay, from_keyframes
-from lifthinge.choice import Choice
 from lifthinge.memory.counters import Counters
 from lifthinge.outer_names import ENUMS, HOLDERS, KINDS, STATE, outer_name
+from lifthinge.policy import Policy
 from lifthinge.store.records import pack
 from tests.play import stage
 
@@ -36,12 +36,12 @@
 
     def tell(self, *events: object) -> None:
         if self.choice is None:
-            self.choice = _Behind(Choice(self.terms, 7), self)
+            self.choice = _Behind(Policy(self.terms, 7), self)
         super().tell(*events)
 
 
 class _Behind(Recorder):
-    def __init__(self, choice: Choice, owner: Recorded) -> None:
+    def __init__(self, choice: Policy, owner: Recorded) -> None:
         super().__init__(choice)
         self.turns = 0
         self.records = []
@@ -79,13 +79,13 @@
     """A replay notices: with another text of the module some turn orders otherwise."""
     played = Recorded()
     played.run((HERE / "scenarios" / "violator.txt").read_text())
-    from lifthinge import choice
+    from lifthinge import policy
 
-    mark, choice.VIOLATOR_MARK = choice.VIOLATOR_MARK, 50.0
+    mark, policy.VIOLATOR_MARK = policy.VIOLATOR_MARK, 50.0
     try:
         parted = Replay().play(played.records[0])
     finally:
-        choice.VIOLATOR_MARK = mark
+        policy.VIOLATOR_MARK = mark
     assert parted is not None and parted.now > 5_000.0, parted
 
 
@@ -97,7 +97,7 @@
     class Captured(stage.Stage):
         def tell(self, *events: object) -> None:
             if self.choice is None:
-                self.choice = Capture(Choice(self.terms, 7), writer, counters)
+                self.choice = Capture(Policy(self.terms, 7), writer, counters)
                 self.choice._due.put(
                     None
                 )  # in step here: which turn begins a segment must not hang on threads
@@ -154,7 +154,7 @@
     most, module.WAITING_MOST = module.WAITING_MOST, 20
     counters = Counters()
     try:
-        captured = Capture(Choice(stage.TERMS, 7), Slow(), counters)
+        captured = Capture(Policy(stage.TERMS, 7), Slow(), counters)
         for turn in range(60):
             captured.decide(turn * 500.0, [])
             if turn == 40:
@@ -173,14 +173,14 @@
 
 def check_against_another_text() -> None:
     """Another text on the same input: alike where it is the same, parted at the turn where it is not."""
-    played, path = Recorded(), Path(choice_module.__file__)
+    played, path = Recorded(), Path(policy_module.__file__)
     played.run((HERE / "scenarios" / "violator.txt").read_text())
     for change, parted in (("", False), ("VIOLATOR_MARK, VIOLATOR_REPORTS = 50.0", True)):
         text = path.read_text()
         if change:
             assert text.count("VIOLATOR_MARK, VIOLATOR_REPORTS = 1.5") == 1
             text = text.replace("VIOLATOR_MARK, VIOLATOR_REPORTS = 1.5", change)
-        other = Path(tempfile.mkdtemp()) / "choice.py"
+        other = Path(tempfile.mkdtemp()) / "policy.py"
         other.write_text(text)
         against = Against(load_text(str(other)))
         against.play(played.records[0])
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -247,7 +247,7 @@
 
 
 def check_document_reaches_decisions() -> None:
-    """What is agreed comes to the controller as `ByHand`, in its own objects, and `until` ends it by itself."""
+    """What is agreed comes to the controller as `OperatorOverrides`, in its own objects, and `until` ends it by itself."""
     from types import SimpleNamespace
 
     from lifthinge.memory.world import World
--- a/tests/play/network.py
+++ b/tests/play/network.py
@@ -21,12 +21,12 @@
     Backend,
     ChannelState,
     FleetNews,
-    Leased,
     Proxy,
-    Retry,
-    SetLine,
+    RetryMode,
+    SetEntry,
     Slice,
-    StoredLine,
+    SliceLeaseChanged,
+    StoredEntry,
 )
 from lifthinge.memory.books import Books
 from lifthinge.memory.counters import Counters, Notices
@@ -35,7 +35,7 @@
 from lifthinge.outer_names import KINDS, outer_name
 from lifthinge.service.controller import Controller
 from lifthinge.service.environment import Place
-from lifthinge.terms import read_map, read_terms
+from lifthinge.settings import read_layout, read_settings
 
 SITE = {
     "Balancers": 2,
@@ -88,9 +88,9 @@
             raise RuntimeError("as the scenario says")
         orders = self.due.pop(0) if self.due else []
         for one in rest + orders:  # the present state, as the decisions keep it
-            if isinstance(one, Leased):
+            if isinstance(one, SliceLeaseChanged):
                 one.slice.lines = {}
-            elif isinstance(one, (StoredLine, SetLine)):
+            elif isinstance(one, (StoredEntry, SetEntry)):
                 one.slice.lines[one.backend] = one.weight
         return orders
 
@@ -304,7 +304,7 @@
             Slots(int(sockets)),
             Random(7),
         )
-        site = read_map(self.site)
+        site = read_layout(self.site)
         peer_listen, peers = (own, (own, self.udp[0].getsockname())) if site.peers else (None, ())
         place = Place(
             "n0",
@@ -318,7 +318,7 @@
             int(sockets),
             192.0,
             self.known,
-            read_terms(self.site),
+            read_settings(self.site),
             site,
         )
         self.controller = Controller(place, books, self.script)
@@ -365,7 +365,7 @@
                 if field == "content"
                 else arg
                 if field == "text"
-                else Retry(int(arg))
+                else RetryMode(int(arg))
                 if field == "retry"
                 else tuple(json.loads(arg))
                 if field == "methods"
--- a/tests/play/stage.py
+++ b/tests/play/stage.py
@@ -29,44 +29,44 @@
 
 from dataclasses import replace
 
-from lifthinge.choice import Choice
 from lifthinge.interface import (
+    AttemptReport,
     Backend,
     BindProxy,
-    ByHand,
     ChannelState,
     ClearTable,
     FleetNews,
-    FollowList,
-    Forget,
-    Form,
-    Leased,
+    FleetNewsKind,
+    FollowFleetList,
+    ForgetBackend,
     Listing,
+    LogDecision,
     Method,
-    OutStands,
+    OperatorOverrides,
     Phase,
     Proxy,
     ProxyJoined,
     ProxyLeft,
     RepeatCall,
-    Retry,
-    Say,
+    RetryMode,
     Seal,
     SealConfirmed,
-    SetLevel,
-    SetLine,
-    ShutOut,
-    SiteTerms,
+    SetAdmissionLevel,
+    SetEntry,
+    SetTimer,
+    SetWithdrawn,
+    SiteSettings,
     Slice,
-    SliceHeat,
-    StoredLine,
+    SliceHeatReport,
+    SliceLeaseChanged,
+    StoredEntry,
     TimerDue,
-    TriesReport,
-    Wake,
+    WithdrawalState,
 )
 from lifthinge.outer_names import KINDS
+from lifthinge.policy import Policy
 
-TERMS = SiteTerms(
+TERMS = SiteSettings(
     methods=(Method(1500.0, 5000.0, 1.0), Method(800.0, 2000.0, 3.0)),
     sliced=True,
     one_owner=False,
@@ -111,10 +111,12 @@
     def tell(self, *events: object) -> None:
         """Hands over one batch and takes in its orders."""
         if self.choice is None:
-            self.choice = Choice(self.terms, 7)
+            self.choice = Policy(self.terms, 7)
         lines, marks = 0, []
         for order in self.choice.decide(self.now, [self.state, *events] if self.state else events):
-            lines += isinstance(order, (SetLine, ShutOut, SetLevel, ClearTable, Seal))
+            lines += isinstance(
+                order, (SetEntry, SetWithdrawn, SetAdmissionLevel, ClearTable, Seal)
+            )
             self.take(order)
             marks += [order.number] if isinstance(order, Seal) else []
         for number in marks:
@@ -144,32 +146,32 @@
             )
 
     def take(self, order: object) -> None:
-        if isinstance(order, SetLine):
+        if isinstance(order, SetEntry):
             self.names.setdefault((Slice, str(order.slice.number)), order.slice)
             table = self.tables.setdefault(order.slice, {})
             table[order.backend] = order.weight
             if not order.weight:
                 del table[order.backend]
-        elif isinstance(order, ShutOut):
+        elif isinstance(order, SetWithdrawn):
             for backends in (self.out, *self.told.values()):
                 (backends.add if order.out else backends.discard)(order.backend)
-        elif isinstance(order, SetLevel):
-            assert order.retry <= Retry.NEVER_RAN, "an effect may come twice"
+        elif isinstance(order, SetAdmissionLevel):
+            assert order.retry <= RetryMode.NEVER_RAN, "an effect may come twice"
             for slice_ in [order.slice] if order.slice else self.tables:
                 self.levels.update({(slice_, k): min(order.level, 1.0) for k in order.methods})
-        elif isinstance(order, Wake):
+        elif isinstance(order, SetTimer):
             self.due.append((self.now + order.delay, [TimerDue(order.handle)], 0))
-        elif isinstance(order, Say):
+        elif isinstance(order, LogDecision):
             self.said.append(order.text)
-        elif isinstance(order, Forget):
+        elif isinstance(order, ForgetBackend):
             assert not any(order.backend in table for table in self.tables.values()), (
                 "a table names it"
             )
             self.forgotten.add(order.backend)
-        self.followed += isinstance(order, FollowList)
+        self.followed += isinstance(order, FollowFleetList)
         self.repeats += isinstance(order, RepeatCall)
         self.bound |= {order.proxy} if isinstance(order, BindProxy) else set()
-        self.sent += isinstance(order, (SetLine, ShutOut, SetLevel))
+        self.sent += isinstance(order, (SetEntry, SetWithdrawn, SetAdmissionLevel))
 
     def play_to(self, until: float) -> None:
         while True:
@@ -215,7 +217,7 @@
         facts = dict(pair.split("=") for pair in pairs)
         self.tell(
             FleetNews(
-                Form.DELTA,
+                FleetNewsKind.DELTA,
                 [
                     Listing(
                         self.name(Backend, one),
@@ -234,7 +236,7 @@
         shares = dict(part.split(":") for part in parts if ":" in part)
         worth = dict(part.split("=") for part in parts if "=" in part)
         self.tell(
-            ByHand(
+            OperatorOverrides(
                 [self.name(Backend, one) for one in out.split(",") if one != "-"],
                 {int(zone): float(share) for zone, share in shares.items()},
                 {int(method): float(one) for method, one in worth.items()},
@@ -242,7 +244,7 @@
         )
 
     def do_missed(self) -> None:
-        self.tell(FleetNews(Form.MISSED, []))
+        self.tell(FleetNews(FleetNewsKind.MISSED, []))
 
     def do_fleet(self, *names: str) -> None:
         for place, name in enumerate(names):
@@ -271,16 +273,16 @@
         self.tables[slice_] = dict(pairs)
         self.levels = {key: level for key, level in self.levels.items() if key[0] is not slice_}
         self.tell(
-            Leased(slice_, True),
-            *(StoredLine(slice_, backend, weight) for backend, weight in pairs),
+            SliceLeaseChanged(slice_, True),
+            *(StoredEntry(slice_, backend, weight) for backend, weight in pairs),
         )
 
     def do_taken(self, number: str) -> None:
         self.tables.pop(self.name(Slice, number), None)
-        self.tell(Leased(self.name(Slice, number), False))
+        self.tell(SliceLeaseChanged(self.name(Slice, number), False))
 
     def do_heard(self, name: str, total: str, aborted: str, took: str) -> None:
-        self.reports["heard", name] = lambda: TriesReport(
+        self.reports["heard", name] = lambda: AttemptReport(
             0,
             self.name(Backend, name),
             int(total),
@@ -292,7 +294,7 @@
 
     def do_once(self, name: str, total: str, aborted: str, took: str) -> None:
         self.tell(
-            TriesReport(
+            AttemptReport(
                 0,
                 self.name(Backend, name),
                 int(total),
@@ -308,7 +310,7 @@
         self.reports["heat", number] = lambda: (
             TimerDue(0)
             if self.now % span
-            else SliceHeat(self.name(Slice, number), 0, int(total), 0, span)
+            else SliceHeatReport(self.name(Slice, number), 0, int(total), 0, span)
         )
 
     def do_confirm(self, word: str) -> None:
@@ -318,7 +320,7 @@
         backend = self.name(Backend, name)
         for backends in (self.out, *self.told.values()):
             backends.discard(backend)
-        self.tell(OutStands(backend, False))
+        self.tell(WithdrawalState(backend, False))
 
     def do_channel(self, state: str) -> None:
         self.state = ChannelState(
