--- a/lifthinge/capture/anonymise.py
+++ b/lifthinge/capture/anonymise.py
@@ -16,7 +16,7 @@
 from lifthinge.interface import Backend
 
 _EP, _NAME = (
-    2 + [one.name for one in fields(Backend)].index(name) for name in ("ep", "name")
+    2 + [one.name for one in fields(Backend)].index(name) for name in ("backend_id", "name")
 )  # after tag, number
 
 
--- a/lifthinge/capture/codec.py
+++ b/lifthinge/capture/codec.py
@@ -11,7 +11,7 @@
 >>> [(tag, number, key) for tag, number, key, _ in one.defined()]
 [('s', 0, 3), ('b', 0, 's-a')]
 >>> other = Coder(); other.define('s', 0, 3, []); other.define('b', 0, 's-a', [])
->>> again = other.object(plain); (again.slice.number, again.backend.ep, again.weight), other.plain(again) == plain
+>>> again = other.object(plain); (again.slice.number, again.backend.backend_id, again.weight), other.plain(again) == plain
 ((3, 's-a', 0.5), True)
 >>> other.object(['o', 'Elsewhere'])
 Traceback (most recent call last):
@@ -36,9 +36,9 @@
 NAMED: dict[
     str, tuple[type, str, tuple[str, ...]]
 ] = {  # tag: kind, what it is known by, what the adapter sets
-    "b": (Backend, "ep", ("name", "shut_out")),
+    "b": (Backend, "backend_id", ("name", "is_withdrawn")),
     "s": (Slice, "number", ()),
-    "p": (Proxy, "number", ("zone", "size", "bound")),
+    "p": (Proxy, "number", ("zone", "size", "is_bound")),
 }
 # Attributes of a `Policy` that are not written; `notes` is made anew, and `terms` stands in the head.
 SKIPPED = ("notes", "terms")
--- a/lifthinge/capture/turns.py
+++ b/lifthinge/capture/turns.py
@@ -51,7 +51,7 @@
         events = list(events)
         told = [self.coder.plain(event) for event in events]
         joined = [event.proxy for event in events if type(event) is ProxyJoined]
-        given = [[*self.coder.plain(one), one.zone, one.size, one.bound] for one in joined]
+        given = [[*self.coder.plain(one), one.zone, one.size, one.is_bound] for one in joined]
         record = ["t", now, [list(one) for one in self.coder.defined()], given, told]
         orders = self.choice.decide(now, events)
         record.append(digest_of(self.coder, orders))
@@ -134,7 +134,7 @@
             self.coder.define(*one)
         for tag, number, zone, size, bound in given:
             proxy = self.coder.object([tag, number])
-            proxy.zone, proxy.size, proxy.bound = zone, size, bound
+            proxy.zone, proxy.size, proxy.is_bound = zone, size, bound
         return now + 0.0, [self.coder.object(one) for one in told], digest
 
     def _turn(self, place: int, now: float, events: list[Event], digest: bytes) -> Parted | None:
--- a/lifthinge/interface.py
+++ b/lifthinge/interface.py
@@ -55,8 +55,8 @@
 class Method:
     """What one method's RPCs are worth, and until when."""
 
-    soft_deadline: float
-    deadline: float
+    soft_deadline_ms: float
+    deadline_ms: float
     criticality: float
 
 
@@ -66,64 +66,66 @@
 
     methods: tuple[Method, ...]
     sliced: bool
-    one_owner: bool
+    has_single_owner: bool
     news_on_request: bool
-    sizes_told: bool
-    levels: str  # "ratio", "rps" or "silent"
-    report_every: float
-    channel_rate: float  # lines a millisecond
-    head_lines: float
-    pending_max: float
-    pushes_allowed: int
-    update_window: float
-    warm_up: float
-    transit_max: float = (
+    uses_listed_sizes: bool
+    admission_mode: str  # "ratio", "rps" or "silent"
+    report_interval_ms: float
+    channel_entries_per_ms: float  # lines a millisecond
+    message_overhead_entries: float
+    max_pending_entries: float
+    max_pushes_per_window: int
+    push_window_ms: float
+    warm_up_ms: float
+    max_transit_ms: float = (
         2_000.0  # the longest way of a message from the channel to a proxy, and into force
     )
-    proxies: int = 1  # of the site; where it is sliced, each joins every instance
+    proxy_count: int = 1  # of the site; where it is sliced, each joins every instance
 
 
 @dataclass(eq=False, slots=True)
 class Backend:
     """A backend as listed, and the working memory that the decisions keep of it."""
 
-    ep: Any
+    backend_id: Any
     name: str
     zone: int = 0
     phase: Phase = Phase.GONE
-    listed: Phase = Phase.GONE  # as discovery says; `phase` is draining if it is out by hand, too
-    told_size: float = 1.0
-    started: float = 0.0
+    listed_phase: Phase = (
+        Phase.GONE
+    )  # as discovery says; `phase` is draining if it is out by hand, too
+    listed_size: float = 1.0
+    started_at_ms: float = 0.0
     size: float = 1.0
     # working memory
-    shut_out: bool = False  # present state: withdrawn from the joined proxies
-    lows: SlidingWindowMinimum = field(default_factory=SlidingWindowMinimum)
-    ratio: float | None = None
-    heard_at: float | None = None
-    strikes: int = 0
-    ok: float = 0.0
-    aborted: float = 0.0
-    asked: float = 0.0
-    took_sum: float = 0.0
-    low: float = 1.0  # the lowest latency of the last minute
-    took: float = 0.0  # mean latency of the tries of late
-    late: tuple[float, float] = (
+    is_withdrawn: bool = False  # present state: withdrawn from the joined proxies
+    latency_minimum: SlidingWindowMinimum = field(default_factory=SlidingWindowMinimum)
+    latency_ratio: float | None = None
+    last_ok_at_ms: float | None = None
+    consecutive_violations: int = 0
+    ok_attempts: float = 0.0
+    aborted_attempts: float = 0.0
+    expected_rpcs: float = 0.0
+    ok_latency_sum_ms: float = 0.0
+    lowest_latency_ms: float = 1.0  # the lowest latency of the last minute
+    mean_latency_ms: float = 0.0  # mean latency of the tries of late
+    decayed_ok_totals: tuple[float, float] = (
         0.0,
         0.0,
     )  # those that went well, and the sum of their latencies, halved
     outcomes: Histogram = field(
         default_factory=lambda: Histogram((0.5,))
     )  # 0 went well, 1 went wrong
-    shut_until: float = 0.0
-    trips: int = 0
-    slow: float = 0.0  # mean latency of late, smoothed
-    on_trial: bool = False  # was shut, and has not answered well since
-    dry: float = 0.0  # asked since a try last went well
-    eased_from: float | None = None
-    ease_span: float = 1.0
+    ejected_until_ms: float = 0.0
+    ejection_count: int = 0
+    smoothed_latency_ms: float = 0.0  # mean latency of late, smoothed
+    is_on_probation: bool = False  # was shut, and has not answered well since
+    rpcs_since_ok: float = 0.0  # asked since a try last went well
+    ramp_start_ms: float | None = None
+    ramp_duration_ms: float = 1.0
     heat: float = 0.0
-    home_heat: float = 0.0  # of the slices that it owns, wherever they are served
-    spare_heat: float = 0.0
+    owned_heat: float = 0.0  # of the slices that it owns, wherever they are served
+    standby_heat: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
@@ -131,18 +133,25 @@
     """A slice of the key space (or, where there are none, a table), and its working memory."""
 
     number: int
-    held: bool = False
-    lines: dict = field(default_factory=dict)  # present state: backend -> weight
+    is_leased: bool = False
+    table: dict = field(default_factory=dict)  # present state: backend -> weight
     owner: Backend | None = None
-    wanted: dict = field(default_factory=dict)  # backend -> part of the slice's RPCs
-    owed: list = field(default_factory=list)  # lines that bring the present state to the wanted one
-    shifts: bool = False  # whether those shift RPCs, or only stand by
-    rests_until: float = 0.0
-    moved_at: float | None = None
+    desired_shares: dict = field(default_factory=dict)  # backend -> part of the slice's RPCs
+    pending_orders: list = field(
+        default_factory=list
+    )  # lines that bring the present state to the wanted one
+    shifts_rpcs: bool = False  # whether those shift RPCs, or only stand by
+    move_blocked_until_ms: float = 0.0
+    rpcs_shifted_at_ms: float | None = None
     heat: float | None = None  # RPCs a millisecond
-    rates: dict = field(default_factory=dict)  # method -> RPCs a millisecond, and when last heard
-    let_in: float = 0.0
-    levels: tuple = (1.0, 1.0)  # present state: let in of the least criticality, and of others
+    method_rates: dict = field(
+        default_factory=dict
+    )  # method -> RPCs a millisecond, and when last heard
+    admitted_rpcs: float = 0.0
+    admission_levels: tuple = (
+        1.0,
+        1.0,
+    )  # present state: let in of the least criticality, and of others
 
 
 @dataclass(eq=False, slots=True)
@@ -152,7 +161,7 @@
     number: int
     zone: int = 0
     size: float = 0.0
-    bound: bool = False
+    is_bound: bool = False
 
 
 # Events
@@ -166,13 +175,13 @@
     zone: int
     cell: int
     phase: Phase
-    started: float
+    started_at_ms: float
     size: float
 
 
 @dataclass(slots=True)
 class FleetNews:
-    form: FleetNewsKind
+    kind: FleetNewsKind
     listings: list[Listing]
 
 
@@ -185,7 +194,7 @@
 class ProbeResult:
     backend: Backend
     outcome: ProbeOutcome
-    took: float
+    latency_ms: float
     load: tuple[float, ...]
 
 
@@ -210,10 +219,10 @@
 class AttemptReport:
     zone: int
     backend: Backend
-    total: int
-    aborted: int
-    took: float
-    span: float
+    attempts: int
+    aborted_attempts: int
+    mean_latency_ms: float
+    span_ms: float
     load: tuple[float, ...]
 
 
@@ -221,24 +230,24 @@
 class ProxyLoadReport:
     proxy: Proxy
     method: int
-    total: int
-    unanswered: int
-    span: float
+    rpcs: int
+    unanswered_rpcs: int
+    span_ms: float
 
 
 @dataclass(slots=True)
 class SliceHeatReport:
     slice: Slice
     method: int
-    total: int
-    unanswered: int
-    span: float
+    rpcs: int
+    unanswered_rpcs: int
+    span_ms: float
 
 
 @dataclass(slots=True)
 class SliceLeaseChanged:
     slice: Slice
-    given: bool
+    is_granted: bool
 
 
 @dataclass(slots=True)
@@ -252,23 +261,23 @@
 class SealConfirmed:
     proxy: Proxy
     seal: int
-    took: float
+    elapsed_ms: float
 
 
 @dataclass(slots=True)
 class ChannelState:
     """Whether the channel takes orders now; the seal of a call of which it is not known whether it ran."""
 
-    free: bool
-    unknown: int = 0
-    broken: bool = field(
+    is_free: bool
+    unknown_seal: int = 0
+    is_broken: bool = field(
         default=False, compare=False
     )  # it broke off: the relay is there, and answers would be heard
 
     @property
-    def held(self) -> bool:
+    def awaits_answer(self) -> bool:
         """Whether the last orders have yet to go out, or to be answered."""
-        return not self.free and not self.unknown
+        return not self.is_free and not self.unknown_seal
 
 
 @dataclass(slots=True)
@@ -276,7 +285,7 @@
     """Whether a backend is withdrawn, other than was ordered: the call was given up."""
 
     backend: Backend
-    out: bool
+    is_withdrawn: bool
 
 
 @dataclass(slots=True)
@@ -287,9 +296,9 @@
     method is worth what is said here, else what the site's terms say.
     """
 
-    out: list[Backend]
-    shares: dict[int, float]
-    criticality: dict[int, float]
+    out_of_service: list[Backend]
+    zone_shares: dict[int, float]
+    method_criticality: dict[int, float]
 
 
 Event = Union[
@@ -335,7 +344,7 @@
 @dataclass(frozen=True, slots=True)
 class SetWithdrawn:
     backend: Backend
-    out: bool
+    is_withdrawn: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -349,12 +358,12 @@
 @dataclass(frozen=True, slots=True)
 class Seal:
     number: int
-    everyone: bool = False
+    all_proxies: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    delay: float
+    delay_ms: float
     handle: int
 
 
@@ -376,7 +385,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowFleetList:
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/lifthinge/lab/capturebench.py
+++ b/lifthinge/lab/capturebench.py
@@ -42,17 +42,17 @@
 TERMS = SiteSettings(
     methods=(Method(1500.0, 5000.0, 1.0), Method(800.0, 2000.0, 3.0)),
     sliced=True,
-    one_owner=False,
+    has_single_owner=False,
     news_on_request=False,
-    sizes_told=True,
-    levels="ratio",
-    report_every=EVERY,
-    channel_rate=50.0,
-    head_lines=10.0,
-    pending_max=75_000.0,
-    pushes_allowed=0,
-    update_window=10_000.0,
-    warm_up=16_000.0,
+    uses_listed_sizes=True,
+    admission_mode="ratio",
+    report_interval_ms=EVERY,
+    channel_entries_per_ms=50.0,
+    message_overhead_entries=10.0,
+    max_pending_entries=75_000.0,
+    max_pushes_per_window=0,
+    push_window_ms=10_000.0,
+    warm_up_ms=16_000.0,
 )
 
 
@@ -159,7 +159,7 @@
                             "event": outer_name(type(event)),
                             "at": record[1],
                             **{
-                                name: getattr(value, "ep", getattr(value, "number", None))
+                                name: getattr(value, "backend_id", getattr(value, "number", None))
                                 if isinstance(
                                     value := getattr(event, attribute), (Backend, Slice, Proxy)
                                 )
--- a/lifthinge/memory/stand.py
+++ b/lifthinge/memory/stand.py
@@ -35,7 +35,7 @@
             self.joined.pop(event.proxy, None)
         elif isinstance(event, SliceLeaseChanged):
             self.lines.pop(event.slice, None)
-            if event.given:
+            if event.is_granted:
                 self.lines[event.slice] = {}
         elif isinstance(event, StoredEntry):
             self.lines.setdefault(event.slice, {})[event.backend] = event.weight
@@ -51,7 +51,7 @@
         told += [SliceLeaseChanged(one, False) for one in world.held if one not in self.lines]
         for one, lines in self.lines.items():
             touched = self._calls.touched(one, self._since)
-            if one not in world.held or not touched and not _same(one.lines, lines):
+            if one not in world.held or not touched and not _same(one.table, lines):
                 told.append(SliceLeaseChanged(one, True))
                 told += [StoredEntry(one, backend, weight) for backend, weight in lines.items()]
         return told
--- a/lifthinge/memory/world.py
+++ b/lifthinge/memory/world.py
@@ -1,9 +1,9 @@
 """The world by its ids: backends, slices and proxies, each one object for as long as anything names it.
 
 >>> world = World()
->>> one = world.backend("s-a"); one.shut_out = True; world.forget(one); world.backends
+>>> one = world.backend("s-a"); one.is_withdrawn = True; world.forget(one); world.backends
 {}
->>> world.backend("s-a") is one, world.backend("s-a").shut_out, world.backend("s-b").shut_out
+>>> world.backend("s-a") is one, world.backend("s-a").is_withdrawn, world.backend("s-b").is_withdrawn
 (False, True, False)
 >>> world.listed[world.backend("s-b")] = None; world.forget(world.backend("s-b")); list(world.backends)
 ['s-a', 's-b']
@@ -38,18 +38,18 @@
         if name not in self.backends and len(self.backends) >= BACKENDS_MOST:
             return None
         if name not in self.backends:
-            self.backends[name] = Backend(name, name, shut_out=name in self.withdrawn)
+            self.backends[name] = Backend(name, name, is_withdrawn=name in self.withdrawn)
             self.withdrawn.pop(name, None)
         return self.backends[name]
 
     def forget(self, backend: Backend) -> None:
         """Keeps nothing of a backend but that it is withdrawn, unless it has been listed meanwhile."""
-        if backend in self.listed or self.backends.get(backend.ep) is not backend:
+        if backend in self.listed or self.backends.get(backend.backend_id) is not backend:
             return
-        del self.backends[backend.ep]
+        del self.backends[backend.backend_id]
         self.addresses.pop(backend, None)
-        if backend.shut_out:
-            self.withdrawn[backend.ep] = None
+        if backend.is_withdrawn:
+            self.withdrawn[backend.backend_id] = None
         if len(self.withdrawn) > WITHDRAWN_MOST:
             del self.withdrawn[next(iter(self.withdrawn))]
 
--- a/lifthinge/outer_names.py
+++ b/lifthinge/outer_names.py
@@ -50,43 +50,61 @@
 
 KINDS: dict[str, Kind] = {
     # Events
-    "ByHand": _kind(interface.OperatorOverrides, "out shares criticality"),
-    "FleetNews": _kind(interface.FleetNews, "form listings"),
+    "ByHand": _kind(
+        interface.OperatorOverrides,
+        "out=out_of_service shares=zone_shares criticality=method_criticality",
+    ),
+    "FleetNews": _kind(interface.FleetNews, "form=kind listings"),
     "TimerDue": _kind(interface.TimerDue, "handle"),
-    "ProbeResult": _kind(interface.ProbeResult, "backend outcome took load"),
+    "ProbeResult": _kind(interface.ProbeResult, "backend outcome took=latency_ms load"),
     "PeerNote": _kind(interface.PeerMessage, "peer content"),
     "ProxyJoined": _kind(interface.ProxyJoined, "proxy first_time"),
     "ProxyLeft": _kind(interface.ProxyLeft, "proxy"),
-    "TriesReport": _kind(interface.AttemptReport, "zone backend total aborted took span load"),
-    "ProxyLoad": _kind(interface.ProxyLoadReport, "proxy method total unanswered span"),
-    "SliceHeat": _kind(interface.SliceHeatReport, "slice method total unanswered span"),
-    "Leased": _kind(interface.SliceLeaseChanged, "slice given"),
+    "TriesReport": _kind(
+        interface.AttemptReport,
+        "zone backend total=attempts aborted=aborted_attempts took=mean_latency_ms span=span_ms"
+        " load",
+    ),
+    "ProxyLoad": _kind(
+        interface.ProxyLoadReport, "proxy method total=rpcs unanswered=unanswered_rpcs span=span_ms"
+    ),
+    "SliceHeat": _kind(
+        interface.SliceHeatReport, "slice method total=rpcs unanswered=unanswered_rpcs span=span_ms"
+    ),
+    "Leased": _kind(interface.SliceLeaseChanged, "slice given=is_granted"),
     "StoredLine": _kind(interface.StoredEntry, "slice backend weight"),
-    "SealConfirmed": _kind(interface.SealConfirmed, "proxy seal took"),
-    "ChannelState": _kind(interface.ChannelState, "free unknown broken"),
-    "OutStands": _kind(interface.WithdrawalState, "backend out"),
+    "SealConfirmed": _kind(interface.SealConfirmed, "proxy seal took=elapsed_ms"),
+    "ChannelState": _kind(
+        interface.ChannelState, "free=is_free unknown=unknown_seal broken=is_broken"
+    ),
+    "OutStands": _kind(interface.WithdrawalState, "backend out=is_withdrawn"),
     # Orders
     "SetLine": _kind(interface.SetEntry, "slice backend weight"),
     "ClearTable": _kind(interface.ClearTable, "slice"),
     "BindProxy": _kind(interface.BindProxy, "slice proxy"),
-    "ShutOut": _kind(interface.SetWithdrawn, "backend out"),
+    "ShutOut": _kind(interface.SetWithdrawn, "backend out=is_withdrawn"),
     "SetLevel": _kind(interface.SetAdmissionLevel, "methods slice level retry"),
-    "Seal": _kind(interface.Seal, "number everyone"),
-    "Wake": _kind(interface.SetTimer, "delay handle"),
+    "Seal": _kind(interface.Seal, "number everyone=all_proxies"),
+    "Wake": _kind(interface.SetTimer, "delay=delay_ms handle"),
     "Probe": _kind(interface.Probe, "backend"),
     "TellPeers": _kind(interface.SendToPeers, "peer content"),
     "Say": _kind(interface.LogDecision, "text"),
-    "FollowList": _kind(interface.FollowFleetList, "on"),
+    "FollowList": _kind(interface.FollowFleetList, "on=enabled"),
     "FetchList": _kind(interface.FetchFleetList, ""),
     "RepeatCall": _kind(interface.RepeatCall, "seal"),
     "Forget": _kind(interface.ForgetBackend, "backend"),
     # Values within events and orders, and the settings
-    "Listing": _kind(interface.Listing, "backend zone cell phase started size"),
-    "Method": _kind(interface.Method, "soft_deadline deadline criticality"),
+    "Listing": _kind(interface.Listing, "backend zone cell phase started=started_at_ms size"),
+    "Method": _kind(
+        interface.Method, "soft_deadline=soft_deadline_ms deadline=deadline_ms criticality"
+    ),
     "SiteTerms": _kind(
         interface.SiteSettings,
-        "methods sliced one_owner news_on_request sizes_told levels report_every channel_rate"
-        " head_lines pending_max pushes_allowed update_window warm_up transit_max proxies",
+        "methods sliced one_owner=has_single_owner news_on_request sizes_told=uses_listed_sizes"
+        " levels=admission_mode report_every=report_interval_ms channel_rate=channel_entries_per_ms"
+        " head_lines=message_overhead_entries pending_max=max_pending_entries"
+        " pushes_allowed=max_pushes_per_window update_window=push_window_ms warm_up=warm_up_ms"
+        " transit_max=max_transit_ms proxies=proxy_count",
     ),
 }
 ENUMS: dict[str, type[Enum]] = {
--- a/lifthinge/policy.py
+++ b/lifthinge/policy.py
@@ -123,10 +123,10 @@
         self.terms, self.dice, self.soft = (
             terms,
             Random(seed),
-            min(m.soft_deadline for m in terms.methods),
+            min(m.soft_deadline_ms for m in terms.methods),
         )
         self.ranks = self._rank({})
-        self.by_hand, self.shares = (
+        self.by_hand, self.zone_shares = (
             {},
             {},
         )  # backends out of service by hand; by zone, of usual work
@@ -154,7 +154,7 @@
         self.untold, self.untold_at = {}, 0.0  # withdrawals that late joiners missed; when to tell
         self.joined_at = 0.0  # when a proxy last joined
         self.clear_at = 0.0  # when a call of unknown fate last had others before it
-        self.horizon = terms.report_every  # the mean span of a report of late, by its tries
+        self.horizon = terms.report_interval_ms  # the mean span of a report of late, by its tries
         self.spans = 0.0, 0.0  # of this period's reports, times their tries; the tries
         self.usual = 0.0  # a report's tries
         self.good = 1.0  # part of all tries that goes well
@@ -163,9 +163,12 @@
         self.let: dict[int, tuple[float, float]] = {}  # zone: part that is let in, and since when
         self.plan: dict[Slice, Backend] = {}  # moves that still run: slice to former owner
         self.seal, self.channel, self.way = 0, Channel(), ChannelState(True)
-        self.said, self.owed = [], []  # orders beside tables; tables to be written, by worth
+        self.said, self.pending_orders = (
+            [],
+            [],
+        )  # orders beside tables; tables to be written, by worth
         if not terms.sliced:
-            self.slices[Slice(0, held=True)] = None
+            self.slices[Slice(0, is_leased=True)] = None
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
         """What is ordered after one batch."""
@@ -173,7 +176,7 @@
         for event in events:
             self.notes.get(type(event), lambda _: None)(event)
         if now >= self.fold_at:
-            self.fold_at = now + self.terms.report_every
+            self.fold_at = now + self.terms.report_interval_ms
             self._fold()
         if now >= self.round_at:
             self.round_at = now + ROUND_EVERY
@@ -183,7 +186,7 @@
     # What is known.
 
     def _note_fleet(self, news: FleetNews) -> None:
-        if news.form is FleetNewsKind.MISSED:
+        if news.kind is FleetNewsKind.MISSED:
             self.follow_at = self.now + ROUND_EVERY * (1 + self.dice.random())
             return
         listed = {}
@@ -191,16 +194,28 @@
             backend = entry.backend
             listed[backend] = self.backends.setdefault(backend)
             # A fresh start is a fresh backend, listed as gone in between or not: old tables may flood it.
-            if entry.started > backend.started and entry.started + self.terms.warm_up > self.now:
-                backend.eased_from, backend.ease_span = entry.started, self.terms.warm_up
-                backend.shut_until, backend.on_trial = 0.0, False
+            if (
+                entry.started_at_ms > backend.started_at_ms
+                and entry.started_at_ms + self.terms.warm_up_ms > self.now
+            ):
+                backend.ramp_start_ms, backend.ramp_duration_ms = (
+                    entry.started_at_ms,
+                    self.terms.warm_up_ms,
+                )
+                backend.ejected_until_ms, backend.is_on_probation = 0.0, False
                 self._forget(backend)
-            backend.zone, backend.listed, backend.started = entry.zone, entry.phase, entry.started
-            backend.told_size = entry.size if self.terms.sizes_told and entry.size > 0 else 1.0
+            backend.zone, backend.listed_phase, backend.started_at_ms = (
+                entry.zone,
+                entry.phase,
+                entry.started_at_ms,
+            )
+            backend.listed_size = (
+                entry.size if self.terms.uses_listed_sizes and entry.size > 0 else 1.0
+            )
         for backend in (
-            b for b in self.backends if news.form is not FleetNewsKind.DELTA and b not in listed
+            b for b in self.backends if news.kind is not FleetNewsKind.DELTA and b not in listed
         ):
-            backend.listed = Phase.GONE
+            backend.listed_phase = Phase.GONE
         self._settle()
 
     def _rank(self, worth: dict[int, float]) -> list[tuple[int, ...]]:
@@ -212,14 +227,14 @@
         ]
 
     def _note_by_hand(self, event: OperatorOverrides) -> None:
-        self.by_hand, self.shares = dict.fromkeys(event.out), event.shares
-        if (ranks := self._rank(event.criticality)) != self.ranks:
+        self.by_hand, self.zone_shares = dict.fromkeys(event.out_of_service), event.zone_shares
+        if (ranks := self._rank(event.method_criticality)) != self.ranks:
             self.ranks, self.levels_due = (
                 ranks,
                 True,
             )  # all are let in, then levels follow the new ranks
             for one in self.slices:
-                one.levels = (1.0, 1.0)
+                one.admission_levels = (1.0, 1.0)
         self._settle()
 
     def _settle(self) -> None:
@@ -228,16 +243,16 @@
         Against an agreed document that takes out too much: the list has them ready, rules 1 and 4 hold.
         """
         acts = any(
-            b.listed is Phase.READY
+            b.listed_phase is Phase.READY
             and b not in self.by_hand
             and self._share(b) >= 1
-            and b.shut_until <= self.now
+            and b.ejected_until_ms <= self.now
             for b in self.backends
         )
         for backend in self.backends:
-            held = acts and backend in self.by_hand and backend.listed is Phase.READY
-            backend.phase = Phase.DRAINING if held else backend.listed
-            backend.size = backend.told_size * self.shares.get(backend.zone, 1.0)
+            held = acts and backend in self.by_hand and backend.listed_phase is Phase.READY
+            backend.phase = Phase.DRAINING if held else backend.listed_phase
+            backend.size = backend.listed_size * self.zone_shares.get(backend.zone, 1.0)
         if self.by_hand and not acts:
             self.said.append(
                 LogDecision("out of service by hand does not act: nobody warm would be left")
@@ -245,13 +260,18 @@
         self.dirty = True
 
     def _forget(self, backend: Backend) -> None:
-        backend.lows.clear()
+        backend.latency_minimum.clear()
         backend.outcomes.clear()
-        backend.ratio, backend.strikes, backend.dry, backend.late = None, 0, 0.0, (0.0, 0.0)
+        (
+            backend.latency_ratio,
+            backend.consecutive_violations,
+            backend.rpcs_since_ok,
+            backend.decayed_ok_totals,
+        ) = None, 0, 0.0, (0.0, 0.0)
 
     def _note_join(self, event: ProxyJoined) -> None:
         self.proxies[event.proxy], self.joined_at = None, self.now
-        self._tell_again(b for b in self.backends if b.shut_out)
+        self._tell_again(b for b in self.backends if b.is_withdrawn)
 
     def _tell_again(self, backends: Iterable[Backend]) -> None:
         """Some proxy may have missed that these are withdrawn."""
@@ -260,56 +280,71 @@
 
     def _note_tries(self, report: AttemptReport) -> None:
         # No report counts for much more than the others do of late: many sane ones outweigh a wild one.
-        backend, usual = report.backend, self.usual or report.total
-        part = min(max(2 * WILD * usual, BAD_LEAST) / max(report.total, 1), 1.0)
-        ok = part * max(report.total - report.aborted, 0)
-        total = ok + min(part * report.aborted, max(WILD * usual, BAD_LEAST))
+        backend, usual = report.backend, self.usual or report.attempts
+        part = min(max(2 * WILD * usual, BAD_LEAST) / max(report.attempts, 1), 1.0)
+        ok = part * max(report.attempts - report.aborted_attempts, 0)
+        total = ok + min(part * report.aborted_attempts, max(WILD * usual, BAD_LEAST))
         self.usual = usual + (total - usual) * USUAL_NEW
-        self.spans = self.spans[0] + report.span * total, self.spans[1] + total
-        backend.ok, backend.aborted = backend.ok + ok, backend.aborted + total - ok
-        backend.took_sum += ok * report.took
+        self.spans = self.spans[0] + report.span_ms * total, self.spans[1] + total
+        backend.ok_attempts, backend.aborted_attempts = (
+            backend.ok_attempts + ok,
+            backend.aborted_attempts + total - ok,
+        )
+        backend.ok_latency_sum_ms += ok * report.mean_latency_ms
 
     def _note_heat(self, report: SliceHeatReport) -> None:
         one = report.slice
-        one.let_in += report.total * one.levels[report.method in self.ranks[1]]
+        one.admitted_rpcs += report.rpcs * one.admission_levels[report.method in self.ranks[1]]
         most = max(sum(s.heat or 0.0 for s in self.slices), WILD * (one.heat or 0.0))  # of all
-        rate = min(report.total / max(report.span, 1.0), most if one.rates else NEVER)
-        one.rates[report.method] = (
-            (one.rates.get(report.method, (rate, 0.0))[0] + rate) / 2,
+        rate = min(report.rpcs / max(report.span_ms, 1.0), most if one.method_rates else NEVER)
+        one.method_rates[report.method] = (
+            (one.method_rates.get(report.method, (rate, 0.0))[0] + rate) / 2,
             self.now,
         )
 
     def _note_lease(self, event: SliceLeaseChanged) -> None:
         one = event.slice
         self.plan.pop(one, None), self.slices.pop(one, None)
-        one.held, one.lines, one.owner, one.wanted, one.heat = event.given, {}, None, {}, None
-        one.owed, one.rates, one.levels = [], {}, (1.0, 1.0)
-        if event.given:
+        one.is_leased, one.table, one.owner, one.desired_shares, one.heat = (
+            event.is_granted,
+            {},
+            None,
+            {},
+            None,
+        )
+        one.pending_orders, one.method_rates, one.admission_levels = [], {}, (1.0, 1.0)
+        if event.is_granted:
             self.slices[one], self.levels_due = None, True
         self.dirty = True
 
     def _note_line(self, event: StoredEntry) -> None:
         one = event.slice
-        if one.held and event.weight > 0:
-            self.backends[event.backend], one.lines[event.backend] = None, event.weight
+        if one.is_leased and event.weight > 0:
+            self.backends[event.backend], one.table[event.backend] = None, event.weight
             if (
-                event.backend.shut_out
+                event.backend.is_withdrawn
             ):  # maybe while no table named it: who joined since was not told
                 self._tell_again([event.backend])
-            one.owner = max(one.lines, key=lambda b: (b.phase is Phase.READY, one.lines[b]))
+            one.owner = max(one.table, key=lambda b: (b.phase is Phase.READY, one.table[b]))
 
     def _note_out(self, event: WithdrawalState) -> None:
-        self.backends[event.backend], event.backend.shut_out, self.dirty = None, event.out, True
+        self.backends[event.backend], event.backend.is_withdrawn, self.dirty = (
+            None,
+            event.is_withdrawn,
+            True,
+        )
 
     # What it means.
 
     def _share(self, backend: Backend) -> float:
         """The part of a warm backend's work that this one may be given: rises in steps after a start."""
-        if backend.eased_from is None:
+        if backend.ramp_start_ms is None:
             return 1.0
-        if backend.on_trial:  # a trace, until it proves well: one that still hangs costs little
+        if (
+            backend.is_on_probation
+        ):  # a trace, until it proves well: one that still hangs costs little
             return TRIAL
-        passed = (self.now - backend.eased_from) / backend.ease_span
+        passed = (self.now - backend.ramp_start_ms) / backend.ramp_duration_ms
         return max(share for part, share in STEPS if part <= max(passed, 0.0))
 
     def _limit(self, backend: Backend) -> float:
@@ -330,17 +365,17 @@
 
         What the other lines push back comes to the owner as well, and may leave room for nothing.
         """
-        if self._share(backend) >= 1 or backend.on_trial:
+        if self._share(backend) >= 1 or backend.is_on_probation:
             return self._share(backend)
-        part = min(self._limit(backend) / max(backend.home_heat, 1e-9), 1.0)
+        part = min(self._limit(backend) / max(backend.owned_heat, 1e-9), 1.0)
         part = 1 - (1 - part) / max(self.good, 1e-9)
         return max((step for _, step in STEPS if step <= part + NEAR), default=0.0)
 
     def _open(self, backend: Backend) -> bool:
-        return backend.phase is Phase.READY and backend.shut_until <= self.now
+        return backend.phase is Phase.READY and backend.ejected_until_ms <= self.now
 
     def _usable(self, backend: Backend) -> bool:
-        return self._open(backend) and not backend.shut_out
+        return self._open(backend) and not backend.is_withdrawn
 
     def _warm(self, backend: Backend) -> bool:
         return self._open(backend) and self._share(backend) >= 1
@@ -348,20 +383,25 @@
     def _fold(self) -> None:
         """Takes in a period's reports: heat of slices, ratios of backends, who is sick."""
         (span, tries), self.spans = self.spans, (0.0, 0.0)
-        span = max(span / tries, self.terms.report_every) if tries else self.horizon
+        span = max(span / tries, self.terms.report_interval_ms) if tries else self.horizon
         self.horizon += (span - self.horizon) * HORIZON_NEW
         for one in self.slices:
             for method, (
                 rate,
                 at,
-            ) in one.rates.items():  # silence means no RPC only where lines get in
+            ) in one.method_rates.items():  # silence means no RPC only where lines get in
                 if self.now - at > UNHEARD_AFTER * self.horizon:
-                    one.rates[method] = rate / 2, self.now - self.horizon
-            one.heat = sum(rate for rate, _ in one.rates.values()) if one.rates else one.heat
-            if one.moved_at is None or self.now - one.moved_at > SETTLED_AFTER * self.horizon:
-                for backend, part in active_shares(one.lines).items():
-                    backend.asked += one.let_in * part
-            one.let_in = 0.0
+                    one.method_rates[method] = rate / 2, self.now - self.horizon
+            one.heat = (
+                sum(rate for rate, _ in one.method_rates.values()) if one.method_rates else one.heat
+            )
+            if (
+                one.rpcs_shifted_at_ms is None
+                or self.now - one.rpcs_shifted_at_ms > SETTLED_AFTER * self.horizon
+            ):
+                for backend, part in active_shares(one.table).items():
+                    backend.expected_rpcs += one.admitted_rpcs * part
+            one.admitted_rpcs = 0.0
         for backend in self.backends:
             self._measure(backend)
         if self.by_hand:
@@ -376,30 +416,44 @@
     def _drop_gone(self) -> None:
         """Forgets who is gone and named nowhere: each start may bring new ids, for good."""
         if gone := {b for b in self.backends if b.phase is Phase.GONE} - set(self.plan.values()):
-            gone.difference_update(*([*s.lines, *s.wanted, s.owner] for s in self.slices))
-            self.said += [ForgetBackend(b) for b in self.backends if b in gone and b.shut_out]
-            self.backends = {b: None for b in self.backends if b not in gone or not b.shut_out}
+            gone.difference_update(*([*s.table, *s.desired_shares, s.owner] for s in self.slices))
+            self.said += [ForgetBackend(b) for b in self.backends if b in gone and b.is_withdrawn]
+            self.backends = {b: None for b in self.backends if b not in gone or not b.is_withdrawn}
 
     def _measure(self, backend: Backend) -> None:
         """A report's latency over the backend's own lowest of the last minute, and its outcomes."""
-        backend.lows.forget(self.now - LOW_SPAN)
-        if backend.ok:
-            backend.late = backend.late[0] / 2 + backend.ok, backend.late[1] / 2 + backend.took_sum
-            backend.took = backend.late[1] / backend.late[0]
-            backend.lows.add(self.now, backend.took)
-            backend.slow = (backend.slow + backend.took) / 2
-            backend.low = max(backend.lows.value(), 1e-3)
-            backend.ratio, backend.heard_at = backend.took / backend.low, self.now
-        elif self.now - (backend.heard_at or 0.0) > UNHEARD_AFTER * self.horizon:
-            backend.ratio = None
-        backend.outcomes.add(WELL, backend.ok)
-        backend.outcomes.add(WRONG, backend.aborted)
-        if backend.on_trial and self._usable(backend) and backend.outcomes.bins[0] >= TRIAL_LEAST:
-            backend.on_trial, backend.eased_from = False, self.now
-        backend.dry = 0.0 if backend.ok else backend.dry + backend.asked
+        backend.latency_minimum.forget(self.now - LOW_SPAN)
+        if backend.ok_attempts:
+            backend.decayed_ok_totals = (
+                backend.decayed_ok_totals[0] / 2 + backend.ok_attempts,
+                backend.decayed_ok_totals[1] / 2 + backend.ok_latency_sum_ms,
+            )
+            backend.mean_latency_ms = backend.decayed_ok_totals[1] / backend.decayed_ok_totals[0]
+            backend.latency_minimum.add(self.now, backend.mean_latency_ms)
+            backend.smoothed_latency_ms = (
+                backend.smoothed_latency_ms + backend.mean_latency_ms
+            ) / 2
+            backend.lowest_latency_ms = max(backend.latency_minimum.value(), 1e-3)
+            backend.latency_ratio, backend.last_ok_at_ms = (
+                backend.mean_latency_ms / backend.lowest_latency_ms,
+                self.now,
+            )
+        elif self.now - (backend.last_ok_at_ms or 0.0) > UNHEARD_AFTER * self.horizon:
+            backend.latency_ratio = None
+        backend.outcomes.add(WELL, backend.ok_attempts)
+        backend.outcomes.add(WRONG, backend.aborted_attempts)
+        if (
+            backend.is_on_probation
+            and self._usable(backend)
+            and backend.outcomes.bins[0] >= TRIAL_LEAST
+        ):
+            backend.is_on_probation, backend.ramp_start_ms = False, self.now
+        backend.rpcs_since_ok = (
+            0.0 if backend.ok_attempts else backend.rpcs_since_ok + backend.expected_rpcs
+        )
 
     def _crowded(self, backend: Backend) -> bool:
-        return backend.took > STRESS_LOW * self.soft
+        return backend.mean_latency_ms > STRESS_LOW * self.soft
 
     def _weigh_zones(self) -> None:
         """Sets what part each zone lets in, from the zone's own latencies: down at once, back in steps.
@@ -409,22 +463,28 @@
         """
         warm = [b for b in self.backends if self._warm(b)]
         tries, bad = (
-            sum(b.ok + b.aborted for b in self.backends),
-            sum(b.aborted for b in self.backends),
+            sum(b.ok_attempts + b.aborted_attempts for b in self.backends),
+            sum(b.aborted_attempts for b in self.backends),
         )
         self.good = (self.good + 1 - bad / max(tries, 1e-9)) / 2
         self.fair = (
             self.fair
-            + sum(b.ok for b in warm)
-            / self.terms.report_every
+            + sum(b.ok_attempts for b in warm)
+            / self.terms.report_interval_ms
             / max(sum(b.size for b in warm), 1e-9)
         ) / 2
-        for zone in dict.fromkeys(b.zone for b in self.backends if b.ok):
-            here = [b for b in self.backends if b.zone == zone and b.ok]
-            stress = sum(b.took_sum for b in here) / sum(b.ok for b in here) / self.soft
+        for zone in dict.fromkeys(b.zone for b in self.backends if b.ok_attempts):
+            here = [b for b in self.backends if b.zone == zone and b.ok_attempts]
+            stress = (
+                sum(b.ok_latency_sum_ms for b in here)
+                / sum(b.ok_attempts for b in here)
+                / self.soft
+            )
             stress = self.stress[zone] = (self.stress.get(zone, 0.0) + stress) / 2
             let, since = self.let.get(zone, (1.0, 0.0))
-            well = sum(b.ok for b in here) / sum(b.ok + b.aborted for b in here)
+            well = sum(b.ok_attempts for b in here) / sum(
+                b.ok_attempts + b.aborted_attempts for b in here
+            )
             if stress > STRESS_HIGH:
                 self.let[zone] = (
                     max(let * min(max(well, LET_CUT[0]), LET_CUT[1]), LET_LEAST),
@@ -436,14 +496,28 @@
     def _judge_ratios(self) -> None:
         mark = VIOLATOR_MARK * self._median()
         for backend in self.backends:
-            if backend.ok or backend.ratio is None:
-                own = backend.took_sum / max(backend.ok, 1e-9) > mark * backend.low
-                backend.strikes = backend.strikes + own if (backend.ratio or 0.0) > mark else 0
-            backend.ok = backend.aborted = backend.asked = backend.took_sum = 0.0
+            if backend.ok_attempts or backend.latency_ratio is None:
+                own = (
+                    backend.ok_latency_sum_ms / max(backend.ok_attempts, 1e-9)
+                    > mark * backend.lowest_latency_ms
+                )
+                backend.consecutive_violations = (
+                    backend.consecutive_violations + own
+                    if (backend.latency_ratio or 0.0) > mark
+                    else 0
+                )
+            backend.ok_attempts = backend.aborted_attempts = backend.expected_rpcs = (
+                backend.ok_latency_sum_ms
+            ) = 0.0
 
     def _median(self) -> float:
         return median(
-            [b.ratio for b in self.backends if b.ratio is not None and self._open(b)] or [1.0]
+            [
+                b.latency_ratio
+                for b in self.backends
+                if b.latency_ratio is not None and self._open(b)
+            ]
+            or [1.0]
         )
 
     def _judge_sick(self) -> None:
@@ -461,14 +535,16 @@
         sick = [
             b
             for b in opened
-            if not (self._crowded(b) or b.slow > STRESS_LOW * self.soft)
-            and judged.get(b, 0.0) >= (mark if b.ok and b.ratio <= QUICK else ALL_BAD)
-            or b.dry >= DRY_LEAST
-            and self.now - (b.heard_at or 0.0)
+            if not (self._crowded(b) or b.smoothed_latency_ms > STRESS_LOW * self.soft)
+            and judged.get(b, 0.0)
+            >= (mark if b.ok_attempts and b.latency_ratio <= QUICK else ALL_BAD)
+            or b.rpcs_since_ok >= DRY_LEAST
+            and self.now - (b.last_ok_at_ms or 0.0)
             > max(
                 2 * self.horizon,
                 max(
-                    m.deadline if self._crowded(b) else m.soft_deadline for m in self.terms.methods
+                    m.deadline_ms if self._crowded(b) else m.soft_deadline_ms
+                    for m in self.terms.methods
                 ),
             )
         ]
@@ -477,21 +553,21 @@
         suspects = sum(b in sick or judged.get(b, 0.0) >= BROAD_SHARE for b in opened)
         if len(out) + suspects > max(BROAD_MOST * len(ready), 1):
             for backend in out:
-                backend.shut_until = self.now
+                backend.ejected_until_ms = self.now
             return
         for backend in sick:
             self.said.append(
                 LogDecision(
                     f"shut out {backend.name}: {judged.get(backend, 0):.0%} of its tries"
-                    f" went wrong, {backend.dry:.0f} asked since one went well"
+                    f" went wrong, {backend.rpcs_since_ok:.0f} asked since one went well"
                 )
             )
-            backend.shut_until = self.now + SHUT_FIRST * 2 ** min(backend.trips, 2)
-            backend.eased_from, backend.ease_span = (
-                backend.shut_until,
-                HEALED_PART * self.terms.warm_up,
+            backend.ejected_until_ms = self.now + SHUT_FIRST * 2 ** min(backend.ejection_count, 2)
+            backend.ramp_start_ms, backend.ramp_duration_ms = (
+                backend.ejected_until_ms,
+                HEALED_PART * self.terms.warm_up_ms,
             )
-            backend.trips, backend.on_trial = backend.trips + 1, True
+            backend.ejection_count, backend.is_on_probation = backend.ejection_count + 1, True
             self._forget(backend)
 
     # The mechanism.
@@ -505,14 +581,19 @@
             (
                 b
                 for b in self.backends
-                if self._open(b) and b.ratio is not None and b.strikes >= VIOLATOR_REPORTS
+                if self._open(b)
+                and b.latency_ratio is not None
+                and b.consecutive_violations >= VIOLATOR_REPORTS
             ),
-            key=lambda b: -b.ratio,
+            key=lambda b: -b.latency_ratio,
+        )
+        former, self.plan_worst = (
+            self.plan_worst,
+            violators[0].latency_ratio / middle if violators else 0.0,
         )
-        former, self.plan_worst = self.plan_worst, violators[0].ratio / middle if violators else 0.0
         if self.plan and self.plan_worst > former:
             self._cancel()
-        if not self.terms.sliced or self.terms.one_owner:
+        if not self.terms.sliced or self.terms.has_single_owner:
             return
         budget = 0 if self.plan or self.now < self.cool_until else MOVE_BUDGET
         for violator in violators:
@@ -521,7 +602,7 @@
                     s
                     for s in self.slices
                     if s.owner is violator
-                    and s.rests_until <= self.now
+                    and s.move_blocked_until_ms <= self.now
                     and s.heat >= WORTH_MOVING * violator.heat
                 ),
                 key=lambda s: -s.heat,
@@ -544,22 +625,25 @@
             if (
                 budget < 1
                 or target in used
-                or target.eased_from is None
+                or target.ramp_start_ms is None
                 or not self._usable(target)
-                or target.home_heat > FILL_PART * mean * target.size * self._share(target)
+                or target.owned_heat > FILL_PART * mean * target.size * self._share(target)
             ):
                 continue
             fits = [
                 s
                 for s in self.slices
-                if s.rests_until <= self.now
+                if s.move_blocked_until_ms <= self.now
                 and s.owner
-                and (s.owner.strikes or (s.owner.heat > FILL_FROM * mean * s.owner.size))
+                and (
+                    s.owner.consecutive_violations
+                    or (s.owner.heat > FILL_FROM * mean * s.owner.size)
+                )
                 and self._fits(s, s.owner, target)
             ]
             if fits:
                 budget -= 1
-                self._move(max(fits, key=lambda s: (s.owner.ratio or 0.0, s.heat)), target)
+                self._move(max(fits, key=lambda s: (s.owner.latency_ratio or 0.0, s.heat)), target)
 
     def _fits(self, one: Slice, source: Backend, target: Backend) -> bool:
         """A slice's heat counts twice, as its keys are cold there: no move may make a new worst."""
@@ -569,13 +653,15 @@
     def _target(self, one: Slice, source: Backend, middle: float, used: dict) -> Backend | None:
         """The lowest-ratio server at or below the median that the slice fits on; unheard is average."""
         ratios = {
-            b: middle if b.ratio is None else b.ratio for b in self.backends if self._usable(b)
+            b: middle if b.latency_ratio is None else b.latency_ratio
+            for b in self.backends
+            if self._usable(b)
         }
         fits = [
             b
             for b, ratio in ratios.items()
             if ratio <= middle
-            and not b.strikes
+            and not b.consecutive_violations
             and b is not source
             and b not in used
             and self._fits(one, source, b)
@@ -587,18 +673,18 @@
         self.said.append(
             LogDecision(
                 f"move slice {one.number} of heat {rate:.1f}/s from {source.name}"
-                f" ({source.ratio or 0:.1f}) to {target.name} ({target.ratio or 0:.1f})"
+                f" ({source.latency_ratio or 0:.1f}) to {target.name} ({target.latency_ratio or 0:.1f})"
             )
         )
         source.heat, target.heat = source.heat - one.heat, target.heat + one.heat
-        target.home_heat += one.heat
-        one.owner, one.rests_until, self.dirty = target, self.now + REST, True
+        target.owned_heat += one.heat
+        one.owner, one.move_blocked_until_ms, self.dirty = target, self.now + REST, True
 
     def _cancel(self) -> None:
         """Drops the moves that have not been sent and lets the system cool off."""
         for one, former in self.plan.items():
-            if one.owed and one.shifts and self._usable(former):
-                one.owner, one.rests_until = former, 0.0
+            if one.pending_orders and one.shifts_rpcs and self._usable(former):
+                one.owner, one.move_blocked_until_ms = former, 0.0
         self.plan.clear()
         self.cool_until, self.dirty = self.now + COOL_OFF, True
 
@@ -611,17 +697,17 @@
         """
         known = [one.heat for one in self.slices if one.heat] or [1e-3]
         for backend in self.backends:
-            backend.heat = backend.home_heat = backend.spare_heat = 0.0
+            backend.heat = backend.owned_heat = backend.standby_heat = 0.0
         for one in self.slices:
             one.heat = sum(known) / len(known) if one.heat is None else one.heat
             if one.owner:
-                one.owner.home_heat += one.heat
-            for backend, part in active_shares(one.lines).items():
+                one.owner.owned_heat += one.heat
+            for backend, part in active_shares(one.table).items():
                 backend.heat += one.heat * part
 
     def _room(self, backend: Backend, one: Slice) -> bool:
         """Whether a backend may take a slice: always, once it is warm."""
-        return self._share(backend) >= 1 or backend.home_heat + one.heat <= self._limit(backend)
+        return self._share(backend) >= 1 or backend.owned_heat + one.heat <= self._limit(backend)
 
     def _mean_heat(self) -> float:
         opened = [b for b in self.backends if self._open(b)]
@@ -632,9 +718,9 @@
         self.dirty = False
         if not self.terms.sliced:
             for one in self.slices:
-                one.wanted = {
+                one.desired_shares = {
                     b: b.size * self._share(b) for b in self.backends if self._open(b)
-                } or one.lines
+                } or one.table
             return
         self._weigh()
         ready = [b for b in self.backends if b.phase is Phase.READY]
@@ -642,23 +728,23 @@
         if not ready:
             return
         for backend in usable:  # whoever runs is better than nobody
-            backend.shut_until = min(backend.shut_until, self.now)
+            backend.ejected_until_ms = min(backend.ejected_until_ms, self.now)
         for one in sorted(
             (s for s in self.slices if s.owner is None or s.owner.phase is not Phase.READY),
             key=lambda s: -s.heat,
         ):
             one.owner = owner = self._refuge(one, usable)
-            owner.heat, owner.home_heat = owner.heat + one.heat, owner.home_heat + one.heat
+            owner.heat, owner.owned_heat = owner.heat + one.heat, owner.owned_heat + one.heat
         warm = [b for b in usable if self._share(b) >= 1]
         for one in self.slices:
-            one.wanted = self._lines(one, warm)
+            one.desired_shares = self._lines(one, warm)
 
     def _lines(self, one: Slice, warm: list[Backend]) -> dict[Backend, float]:
         """What part of a slice's RPCs goes where: to its owner what it may have, the rest to the spare."""
-        spare = None if self.terms.one_owner else self._spare(one, warm)
+        spare = None if self.terms.has_single_owner else self._spare(one, warm)
         if spare is None:
             return {one.owner: 1.0}
-        spare.spare_heat, part = spare.spare_heat + one.heat, self._part(one.owner)
+        spare.standby_heat, part = spare.standby_heat + one.heat, self._part(one.owner)
         return {one.owner: part, spare: 1.0 - part} if part else {spare: 1.0}
 
     def _refuge(self, one: Slice, usable: list[Backend]) -> Backend:
@@ -666,26 +752,26 @@
         roomy = [b for b in usable if self._room(b, one)]
         roomy = roomy or [b for b in usable if self._share(b) >= 1] or usable
         return min(
-            [b for b in roomy if not b.strikes] or roomy,
+            [b for b in roomy if not b.consecutive_violations] or roomy,
             key=lambda b: (
                 (b.heat + one.heat)
                 / (b.size * self._share(b))
-                * (SPARE_LIKED if b in one.lines else 1.0)
+                * (SPARE_LIKED if b in one.table else 1.0)
             ),
         )
 
     def _spare(self, one: Slice, warm: list[Backend]) -> Backend | None:
         """A standby line, for who loses the owner: one that the table has, else one in another zone."""
-        had = [b for b in one.lines if b is not one.owner and self._warm(b) and not b.shut_out]
+        had = [b for b in one.table if b is not one.owner and self._warm(b) and not b.is_withdrawn]
         if had:
-            return max(had, key=lambda b: (not b.strikes, one.lines[b]))
+            return max(had, key=lambda b: (not b.consecutive_violations, one.table[b]))
         return min(
             (b for b in warm if b is not one.owner),
             default=None,
             key=lambda b: (
                 b.zone == one.owner.zone,
-                b.strikes > 0,
-                (b.heat + b.spare_heat) / b.size,
+                b.consecutive_violations > 0,
+                (b.heat + b.standby_heat) / b.size,
             ),
         )
 
@@ -694,9 +780,11 @@
 
         Others that are a trace beside the main one stay.
         """
-        want, have = one.wanted, one.lines
+        want, have = one.desired_shares, one.table
         stale = (
-            [] if self.terms.one_owner else [SetEntry(one, b, 0.0) for b in have if b not in want]
+            []
+            if self.terms.has_single_owner
+            else [SetEntry(one, b, 0.0) for b in have if b not in want]
         )
         dead = [
             o
@@ -704,10 +792,10 @@
             if o.backend.phase is not Phase.READY
             and share_if_active(have, o.backend) > NEAR
             or self._open(o.backend)
-            and o.backend.shut_out
+            and o.backend.is_withdrawn
             and self._share(o.backend) < 1
         ]
-        if not self.terms.sliced or self.terms.one_owner:
+        if not self.terms.sliced or self.terms.has_single_owner:
             return [SetEntry(one, b, w) for b, w in want.items() if have.get(b) != w] + stale
         main = max(want, key=want.get)
         top = have.get(main, 0.0)
@@ -735,19 +823,22 @@
         """Decides anew and lists what is owed: what shifts RPCs before standby lines, the hottest first."""
         self._want()
         for one in self.slices:
-            one.owed = (self._owe(one) if one.wanted else []) + self._owe_levels(one)
-            live = active_shares(one.lines)
-            one.shifts = self._levels(one) != one.levels or any(
-                abs(live.get(b, 0.0) - part) > NEAR for b, part in one.wanted.items()
+            one.pending_orders = (self._owe(one) if one.desired_shares else []) + self._owe_levels(
+                one
+            )
+            live = active_shares(one.table)
+            one.shifts_rpcs = self._levels(one) != one.admission_levels or any(
+                abs(live.get(b, 0.0) - part) > NEAR for b, part in one.desired_shares.items()
             )
-        self.owed = sorted(
-            (one for one in self.slices if one.owed), key=lambda s: (not s.shifts, -(s.heat or 0.0))
+        self.pending_orders = sorted(
+            (one for one in self.slices if one.pending_orders),
+            key=lambda s: (not s.shifts_rpcs, -(s.heat or 0.0)),
         )
 
     def _may_push(self) -> bool:
         late, most = (
             self.now - self.channel.pushed_at >= PUSH_AFTER,
-            self.terms.pushes_allowed or NEVER,
+            self.terms.max_pushes_per_window or NEVER,
         )
         return (late or self.channel.unconfirmed() <= MOST * len(self.proxies)) and (
             len(self.channel.pushes) < (1.0 - KEPT_PART) * most
@@ -761,15 +852,15 @@
         if self.dirty:
             self._list_owed()
         self.channel.forget(
-            self.now - SLOWEST * self.terms.pending_max / self.terms.channel_rate,
-            self.now - self.terms.update_window,
-            self.now * self.way.held,
+            self.now - SLOWEST * self.terms.max_pending_entries / self.terms.channel_entries_per_ms,
+            self.now - self.terms.push_window_ms,
+            self.now * self.way.awaits_answer,
         )
         # While proxies come in, more may join before the call is carried out, and get it, too.
         coming = self.terms.sliced and self.now - self.joined_at < PUSH_AFTER * JOINS_GATHER
-        each = max(len(self.proxies), self.terms.proxies if coming else 1)
-        head, orders = self.terms.head_lines + 1, []
-        whole = self.terms.pending_max / each
+        each = max(len(self.proxies), self.terms.proxy_count if coming else 1)
+        head, orders = self.terms.message_overhead_entries + 1, []
+        whole = self.terms.max_pending_entries / each
         most = (
             whole * URGENT_PART - head
         )  # that is ever free; a small channel keeps back less of it
@@ -783,27 +874,29 @@
         def worth(lines: int, back: float) -> float:  # the room at which a push is worth its head
             return min(lines, head, (most - back) / 2)
 
-        room *= len(self.channel.pushes) < (self.terms.pushes_allowed or NEVER)
+        room *= len(self.channel.pushes) < (self.terms.max_pushes_per_window or NEVER)
         # A call that broke off has not run if none confirmed it within a message's way of all before it.
-        if self.channel.ahead(self.way.unknown):
+        if self.channel.ahead(self.way.unknown_seal):
             self.clear_at = self.now
         since = self.now - self.channel.pushed_at
         alone = min(since, self.now - self.clear_at)
         unrun = (
-            since >= PUSH_AFTER or self.way.broken and alone > ANSWER_PART * self.terms.transit_max
+            since >= PUSH_AFTER
+            or self.way.is_broken
+            and alone > ANSWER_PART * self.terms.max_transit_ms
         )
-        if self.way.unknown and (unrun or room > self.channel.cost(self.way.unknown)):
-            self.channel.repeated(self.way.unknown, self.now, unrun)
-            self.said.append(RepeatCall(self.way.unknown))
-        room *= self.way.free
+        if self.way.unknown_seal and (unrun or room > self.channel.cost(self.way.unknown_seal)):
+            self.channel.repeated(self.way.unknown_seal, self.now, unrun)
+            self.said.append(RepeatCall(self.way.unknown_seal))
+        room *= self.way.is_free
         leaving = min(
-            sum(b.phase is not Phase.READY and not b.shut_out for b in self.backends), most / 2
+            sum(b.phase is not Phase.READY and not b.is_withdrawn for b in self.backends), most / 2
         )
         for (
             backend
         ) in self.backends:  # all who leave in one message: another would wait for its head, too
             if (
-                not backend.shut_out
+                not backend.is_withdrawn
                 and self._must_out(backend)
                 and room
                 > (
@@ -813,17 +906,17 @@
                 )
             ):
                 orders.append(SetWithdrawn(backend, True))
-                backend.shut_out, self.dirty, room = True, True, room - 1
+                backend.is_withdrawn, self.dirty, room = True, True, room - 1
         # Who joined late has missed the withdrawals so far. They go together, as each push costs its head,
         # those first whom most RPCs would reach. A further message that withdraws a batch always has room.
         missed = [
-            b for b in self.untold if b.shut_out and any(b in one.lines for one in self.slices)
+            b for b in self.untold if b.is_withdrawn and any(b in one.table for one in self.slices)
         ]
         more = min(batch - head, most / 2)
         if self.now >= self.untold_at and room - more > worth(len(missed), more):
             missed.sort(
                 key=lambda b: (
-                    -max(share_if_active(one.lines, b) for one in self.slices if b in one.lines)
+                    -max(share_if_active(one.table, b) for one in self.slices if b in one.table)
                 )
             )
             told, self.untold = (
@@ -835,13 +928,15 @@
         if self.dirty:
             self._list_owed()
         # Nobody is left without a line: not by a withdrawal now, nor by one before the slice was given.
-        stripped = [one for one in self.owed if has_no_active_entry(one.lines)]
+        stripped = [one for one in self.pending_orders if has_no_active_entry(one.table)]
         if room - spared > worth(len(stripped), spared):  # their main lines only: the rest can wait
             for one in stripped:
-                one.owed = sorted(one.owed, key=lambda order: -getattr(order, "weight", 0.0))[:1]
+                one.pending_orders = sorted(
+                    one.pending_orders, key=lambda order: -getattr(order, "weight", 0.0)
+                )[:1]
             room, self.dirty = self._pay(stripped, room - spared, orders) + spared, True
         # Pushes of a line or two, one after the other, would take the room that all of these wait for.
-        if self._may_push() and not missed and not any(one.owed for one in stripped):
+        if self._may_push() and not missed and not any(one.pending_orders for one in stripped):
             room, back, kept = room - kept, kept, 0.0
             if (
                 self.levels_due and room > 1
@@ -852,44 +947,50 @@
                         self.ranks[0] + self.ranks[1], None, LET_ALL, RetryMode.NEVER_RAN
                     )
                 )
-            if orders or room > worth(sum(len(one.owed) for one in self.owed), back):
-                room = self._pay(self.owed, room, orders)
+            if orders or room > worth(
+                sum(len(one.pending_orders) for one in self.pending_orders), back
+            ):
+                room = self._pay(self.pending_orders, room, orders)
         for backend in self.backends:
             if (
-                backend.shut_out
+                backend.is_withdrawn
                 and room > kept + 1
                 and self._open(backend)
                 and (
                     not self._over(backend)
                     or self._share(backend) >= 1
                     and any(
-                        backend in one.lines and has_no_active_entry(one.lines)
+                        backend in one.table and has_no_active_entry(one.table)
                         for one in self.slices
                     )
                 )
             ):
-                backend.shut_out, self.dirty, room = False, True, room - 1
+                backend.is_withdrawn, self.dirty, room = False, True, room - 1
                 self._forget(backend)
-                for one in (s for s in self.slices if backend in s.lines):
-                    one.moved_at = self.now
+                for one in (s for s in self.slices if backend in s.table):
+                    one.rpcs_shifted_at_ms = self.now
                 orders.append(SetWithdrawn(backend, False))
-        for proxy in self.proxies if self.way.free and not self.terms.sliced else ():
+        for proxy in self.proxies if self.way.is_free and not self.terms.sliced else ():
             orders += [
-                BindProxy(one, proxy) for one in self.slices if one.lines and not proxy.bound
+                BindProxy(one, proxy) for one in self.slices if one.table and not proxy.is_bound
             ]
-            proxy.bound = all(one.lines for one in self.slices)
+            proxy.is_bound = all(one.table for one in self.slices)
         if orders:
             self.seal = self.seal % 65_000 + 1
             lines = len(orders) + head + (0 if self.terms.sliced else len(self.backends))
             self.channel.sent(self.seal, lines, self.proxies, self.now)
             orders.append(Seal(self.seal))
         # A plan has run once its tables were sent and most proxies confirmed them.
-        if self.plan and not any(one.owed and one.shifts for one in self.plan) and self._may_push():
+        if (
+            self.plan
+            and not any(one.pending_orders and one.shifts_rpcs for one in self.plan)
+            and self._may_push()
+        ):
             self.plan.clear()
         if self.now >= self.follow_at:
             self.follow_at, orders = NEVER, [*orders, FollowFleetList(True)]
         if self.now >= self.wake_at:
-            self.wake_at = self.now + (beat := min(self.terms.report_every, ROUND_EVERY) / 2)
+            self.wake_at = self.now + (beat := min(self.terms.report_interval_ms, ROUND_EVERY) / 2)
             orders.append(SetTimer(beat, 0))
         return orders
 
@@ -900,39 +1001,39 @@
         if self._open(backend) and (self._share(backend) > STEPS[0][1] or not self._over(backend)):
             return False
         return all(
-            any(not b.shut_out and b is not backend for b in one.wanted)
+            any(not b.is_withdrawn and b is not backend for b in one.desired_shares)
             for one in self.slices
-            if backend in one.wanted
+            if backend in one.desired_shares
         )
 
     def _over(self, backend: Backend) -> bool:
         """Whether a table gives a backend more than is wanted; a trace brings the cold what others refuse."""
         return any(
-            share_if_active(one.lines, backend) - NEAR
-            > one.wanted.get(backend, 0.0) / (sum(one.wanted.values()) or 1.0)
+            share_if_active(one.table, backend) - NEAR
+            > one.desired_shares.get(backend, 0.0) / (sum(one.desired_shares.values()) or 1.0)
             or self._share(backend) < 1
-            and backend not in one.wanted
+            and backend not in one.desired_shares
             for one in self.slices
-            if backend in one.lines
+            if backend in one.table
         )
 
     def _pay(self, owed: list[Slice], room: float, orders: list[Order]) -> float:
         """Writes the lines that tables are owed, as far as there is room."""
         for one in owed:
-            if not one.owed or room <= len(one.owed):
+            if not one.pending_orders or room <= len(one.pending_orders):
                 continue
-            room, orders[len(orders) :] = room - len(one.owed), one.owed
-            one.moved_at = self.now if one.shifts else one.moved_at
-            for order in one.owed:
+            room, orders[len(orders) :] = room - len(one.pending_orders), one.pending_orders
+            one.rpcs_shifted_at_ms = self.now if one.shifts_rpcs else one.rpcs_shifted_at_ms
+            for order in one.pending_orders:
                 if type(order) is SetAdmissionLevel:
-                    one.levels = self._levels(one)
+                    one.admission_levels = self._levels(one)
                 else:
-                    one.lines = {
-                        **({} if self.terms.one_owner else one.lines),
+                    one.table = {
+                        **({} if self.terms.has_single_owner else one.table),
                         order.backend: order.weight,
                     }
-            one.lines, one.owed = {b: w for b, w in one.lines.items() if w}, []
-        self.owed = [one for one in self.owed if one.owed]
+            one.table, one.pending_orders = {b: w for b, w in one.table.items() if w}, []
+        self.pending_orders = [one for one in self.pending_orders if one.pending_orders]
         return room
 
     def _levels(self, one: Slice) -> tuple[float, float]:
@@ -940,7 +1041,11 @@
 
         It follows its owner's zone; a slice whose own backend is calm lets all in.
         """
-        if self.terms.levels != "ratio" or one.owner is None or not self._crowded(one.owner):
+        if (
+            self.terms.admission_mode != "ratio"
+            or one.owner is None
+            or not self._crowded(one.owner)
+        ):
             return 1.0, 1.0
         low = len(self.ranks[0]) / len(self.terms.methods)
         cut = 1.0 - self.let.get(one.owner.zone, (1.0, 0.0))[0]
@@ -950,6 +1055,6 @@
     def _owe_levels(self, one: Slice) -> list[SetAdmissionLevel]:
         return [
             SetAdmissionLevel(methods, one, part, RetryMode.NEVER_RAN)
-            for methods, part, former in zip(self.ranks, self._levels(one), one.levels)
+            for methods, part, former in zip(self.ranks, self._levels(one), one.admission_levels)
             if methods and part != former
         ]
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -101,7 +101,7 @@
             books,
             list(place.peers),
             place.peers_all,
-            place.site.number,
+            place.site.controller_number,
             lambda note: self.tell([note]),
         )
         self.ready = False  # it can decide, and knows what stands
@@ -111,13 +111,13 @@
         self._tasks: dict[asyncio.Task, str] = {}
         self._carry: dict[type, Callable[[Any], None]] = {
             SetTimer: lambda o: self.books.deadlines.set(
-                o.delay, lambda: self.tell([TimerDue(o.handle)])
+                o.delay_ms, lambda: self.tell([TimerDue(o.handle)])
             ),
             Probe: lambda o: self.probes.probe(o.backend),
             SendToPeers: lambda o: self.peers.send(o.peer, o.content),
             RepeatCall: lambda o: self.relay.repeat(o.seal),
             LogDecision: lambda o: log.info("decided", {"what": o.text}),
-            FollowFleetList: lambda o: self._follow(o.on),
+            FollowFleetList: lambda o: self._follow(o.enabled),
             ForgetBackend: lambda o: self.world.forget(o.backend),
             FetchFleetList: lambda o: self._run("fetch", self.discovery.fetch),
         }
@@ -200,13 +200,13 @@
         """Notes what stands now, and drops the orders that died with a slice."""
         for event in events:
             if isinstance(event, ProxyJoined):
-                self.world.joined[event.proxy], event.proxy.bound = event.first_time, False
+                self.world.joined[event.proxy], event.proxy.is_bound = event.first_time, False
             elif isinstance(event, ProxyLeft):
                 self.world.joined.pop(event.proxy, None)
             elif isinstance(event, SliceLeaseChanged):
                 self.calls.slice_gone(event.slice)
                 self.world.held.pop(event.slice, None)
-                if event.given:
+                if event.is_granted:
                     self.world.held[event.slice] = None
             elif isinstance(event, SealConfirmed):
                 self.relay.confirmed(event.seal)
@@ -217,7 +217,7 @@
         self.news.renew()
         self.tell(
             [
-                WithdrawalState(one.backend, not one.out)
+                WithdrawalState(one.backend, not one.is_withdrawn)
                 for one in orders
                 if isinstance(one, SetWithdrawn)
             ]
@@ -232,7 +232,7 @@
             self.world.listed.pop(order.backend, None)
             lines = [
                 StoredEntry(order.slice, backend, weight)
-                for backend, weight in order.slice.lines.items()
+                for backend, weight in order.slice.table.items()
                 if backend is not order.backend
             ]
             self.tell(
@@ -257,7 +257,7 @@
             log.error("decision_failed", {"error": repr(error)}, exc_info=True)
             self.books.counters.add("decision_failed")
             self.ready = False
-            self.books.deadlines.set(self.place.terms.report_every, lambda: self.tell([]))
+            self.books.deadlines.set(self.place.terms.report_interval_ms, lambda: self.tell([]))
             return
         self.books.counters.add("decisions")
         self.books.counters.most("decision.longest_ms", round(self.books.now - began, 1))
--- a/lifthinge/service/environment.py
+++ b/lifthinge/service/environment.py
@@ -74,7 +74,7 @@
         terms, site = read_settings(conf.get("settings")), read_layout(conf.get("settings"))
     except SettingsError as error:
         raise BadStart("settings", str(error)) from None
-    peers = conf.get("peers", []) if site.peers else []
+    peers = conf.get("peers", []) if site.has_peers else []
     if not isinstance(peers, list):
         raise BadStart("peers", "not a list")
     return Place(
@@ -82,10 +82,10 @@
         listen=listen,
         discovery=discovery,
         relay=_address("distributor.address", _part(conf, "distributor").get("address")),
-        peer_listen=_address("peer_listen", conf.get("peer_listen")) if site.peers else None,
+        peer_listen=_address("peer_listen", conf.get("peer_listen")) if site.has_peers else None,
         peers=tuple(_address("peers", one) for one in peers),
         peers_all=_address("peers_all", conf["peers_all"])
-        if site.peers and conf.get("peers_all")
+        if site.has_peers and conf.get("peers_all")
         else None,
         seed=_seed(conf.get("seed")),
         sockets=_sockets(limits.get("sockets")),
--- a/lifthinge/settings.py
+++ b/lifthinge/settings.py
@@ -23,14 +23,14 @@
     zones: tuple[str, ...]
     methods: tuple[str, ...]
     load_fields: tuple[str, ...]
-    slices: int
-    proxies: int
-    took_most: float  # ms that a report's tries may have taken on the mean
-    span_most: float  # ms that it may cover
-    rate_most: float  # tries a millisecond that it may tell
-    number: int  # this controller's, among those of its tier
-    probes: bool
-    peers: bool
+    slice_count: int
+    proxy_count: int
+    max_mean_latency_ms: float  # ms that a report's tries may have taken on the mean
+    max_report_span_ms: float  # ms that it may cover
+    max_attempts_per_ms: float  # tries a millisecond that it may tell
+    controller_number: int  # this controller's, among those of its tier
+    sends_probes: bool
+    has_peers: bool
     news_on_request: bool
 
 
@@ -71,19 +71,19 @@
             for one in conf["Services"]
         ),
         sliced=special["Ranges"] > 0,
-        one_owner=bool(special.get("OneOwner", False)),
+        has_single_owner=bool(special.get("OneOwner", False)),
         news_on_request=conf["MembershipMode"] == "ask",
-        sizes_told=conf["Weights"] != "silent",
-        levels=special["Admit"],
-        report_every=special["ReportEvery"] * MS,
-        channel_rate=special["ChannelRate"] / MS,
-        head_lines=special["FixedCost"],
-        pending_max=special["PendingMax"],
-        pushes_allowed=special["PushesAllowed"],
-        update_window=special["UpdateWindow"] * MS,
-        warm_up=rules["WarmUp"] * MS,
-        transit_max=special["TransitMax"] * MS,
-        proxies=max(int(special["DataPlaneSize"]), 1),
+        uses_listed_sizes=conf["Weights"] != "silent",
+        admission_mode=special["Admit"],
+        report_interval_ms=special["ReportEvery"] * MS,
+        channel_entries_per_ms=special["ChannelRate"] / MS,
+        message_overhead_entries=special["FixedCost"],
+        max_pending_entries=special["PendingMax"],
+        max_pushes_per_window=special["PushesAllowed"],
+        push_window_ms=special["UpdateWindow"] * MS,
+        warm_up_ms=rules["WarmUp"] * MS,
+        max_transit_ms=special["TransitMax"] * MS,
+        proxy_count=max(int(special["DataPlaneSize"]), 1),
     )
 
 
@@ -100,13 +100,13 @@
         zones=tuple(conf["Zones"]),
         methods=tuple(one["Name"] for one in conf["Services"]),
         load_fields=tuple(conf.get("Report", {}).get("Fields", ())),
-        slices=int(special["Ranges"]),
-        proxies=int(special["DataPlaneSize"]),
-        took_most=max(one["Deadline"] for one in services) * MS * NOISE_MOST,
-        span_most=special["ReportEvery"] * MS * PERIODS_MOST,
-        rate_most=at_once * TURNS_MOST / (min(one["Target"] for one in services) * MS),
-        number=int(conf["SlotNo"]),
-        probes=bool(conf["Limits"].get("Probes", False)),
-        peers=bool(conf["Limits"].get("MayTell", False)),
+        slice_count=int(special["Ranges"]),
+        proxy_count=int(special["DataPlaneSize"]),
+        max_mean_latency_ms=max(one["Deadline"] for one in services) * MS * NOISE_MOST,
+        max_report_span_ms=special["ReportEvery"] * MS * PERIODS_MOST,
+        max_attempts_per_ms=at_once * TURNS_MOST / (min(one["Target"] for one in services) * MS),
+        controller_number=int(conf["SlotNo"]),
+        sends_probes=bool(conf["Limits"].get("Probes", False)),
+        has_peers=bool(conf["Limits"].get("MayTell", False)),
         news_on_request=conf["MembershipMode"] == "ask",
     )
--- a/lifthinge/wire/discovery.py
+++ b/lifthinge/wire/discovery.py
@@ -157,9 +157,9 @@
         ]
         if whole:
             changed += [
-                Listing(one.backend, one.zone, one.cell, Phase.GONE, one.started, one.size)
+                Listing(one.backend, one.zone, one.cell, Phase.GONE, one.started_at_ms, one.size)
                 for one in self.world.listed.values()
-                if one.backend.ep not in named
+                if one.backend.backend_id not in named
             ]
         self.world.version, self.answered = version, True
         self._keep(changed)
--- a/lifthinge/wire/door.py
+++ b/lifthinge/wire/door.py
@@ -144,7 +144,7 @@
             SetEntry: lambda o: {
                 names.DO: names.SET,
                 names.TABLE: o.slice.number,
-                names.BACKEND: o.backend.ep,
+                names.BACKEND: o.backend.backend_id,
                 names.SIZE: o.weight,
             },
             ClearTable: lambda o: {names.DO: names.CLEAR, names.TABLE: o.slice.number},
@@ -154,14 +154,14 @@
                 names.PROXY: o.proxy.number,
             },
             SetWithdrawn: lambda o: {
-                names.DO: names.OUT if o.out else names.IN,
-                names.BACKEND: o.backend.ep,
+                names.DO: names.OUT if o.is_withdrawn else names.IN,
+                names.BACKEND: o.backend.backend_id,
             },
             SetAdmissionLevel: self._level,
             Seal: lambda o: {
                 names.DO: names.SEAL,
                 names.SEAL_SET: o.number,
-                names.EVERYONE: int(o.everyone),
+                names.EVERYONE: int(o.all_proxies),
             },
         }
 
@@ -239,14 +239,16 @@
         return found
 
     def _slice(self, fields: Fields) -> Slice:
-        return self.world.slice(fields.whole(names.SLICE, self.site.slices - 1))
+        return self.world.slice(fields.whole(names.SLICE, self.site.slice_count - 1))
 
     def _proxy(self, fields: Fields) -> Proxy:
-        return self.world.proxy(fields.whole(names.PROXY, self.site.proxies - 1))
+        return self.world.proxy(fields.whole(names.PROXY, self.site.proxy_count - 1))
 
     def _tries(self, f: Fields) -> Event:
         total, failed, span = self._counts(f)
-        took = f.number(names.TOOK, _REQUIRED if total > failed else 0.0, self.site.took_most)
+        took = f.number(
+            names.TOOK, _REQUIRED if total > failed else 0.0, self.site.max_mean_latency_ms
+        )
         return AttemptReport(
             f.place(names.ZONE, self.site.zones),
             self._backend(f),
@@ -259,8 +261,8 @@
 
     def _counts(self, f: Fields) -> tuple[int, int, float]:
         """Tries, those that were aborted, and the span: each within what the settings let happen."""
-        span = f.number(names.SPAN, most=self.site.span_most)
-        total = f.whole(names.TOTAL, max(span, 1.0) * self.site.rate_most)
+        span = f.number(names.SPAN, most=self.site.max_report_span_ms)
+        total = f.whole(names.TOTAL, max(span, 1.0) * self.site.max_attempts_per_ms)
         failed = f.whole(names.ABORTED)
         if failed > total:
             raise _Unfit("more aborted than tried")
@@ -279,7 +281,7 @@
 
     def _joined(self, f: Fields) -> Event:
         number, zone = (
-            f.whole(names.PROXY, self.site.proxies - 1),
+            f.whole(names.PROXY, self.site.proxy_count - 1),
             f.place(names.ZONE, self.site.zones),
         )
         size, fresh, proxy = (
--- a/lifthinge/wire/news.py
+++ b/lifthinge/wire/news.py
@@ -178,7 +178,7 @@
 
     def _pass(self, event: Event) -> None:
         """Hands an event on; a slice just given waits for its lines, or it would pass for a bare one."""
-        if isinstance(event, SliceLeaseChanged) and event.given:
+        if isinstance(event, SliceLeaseChanged) and event.is_granted:
             if (
                 event.slice in self.world.held
             ):  # nothing may be ordered for it on its old lines meanwhile
--- a/lifthinge/wire/probes.py
+++ b/lifthinge/wire/probes.py
@@ -29,7 +29,7 @@
     def probe(self, backend: Backend) -> None:
         if backend in self._running.values():
             self.books.counters.add("probe.doubled")
-        elif not self.door.site.probes or backend not in self.world.addresses:
+        elif not self.door.site.sends_probes or backend not in self.world.addresses:
             self.books.counters.add("probe.not_to_be_had")
         elif len(self._running) >= PROBES_MOST:
             self.books.counters.add("probe.no_room")
--- a/lifthinge/wirehost/translate.py
+++ b/lifthinge/wirehost/translate.py
@@ -93,7 +93,7 @@
 
     >>> statuses = 10, 20, 30, 40, 50, 60, 99
     >>> found = [Door(3).event("Sampled", (0.25, status, b"backnd", (0.5,))) for status in statuses]
-    >>> [one.outcome.value for one in found], found[0].took, found[0].load
+    >>> [one.outcome.value for one in found], found[0].latency_ms, found[0].load
     (['ok', 'aborted', 'pushed_back', 'late', 'unreachable', 'broken', 'aborted'], 250.0, (0.5,))
     """
 
@@ -124,10 +124,12 @@
             ),
         }
         self.writers: dict[type, Callable[[Any], bytes]] = {
-            SetEntry: lambda o: self._pack("Assign", o.slice.number, o.backend.ep, o.weight),
+            SetEntry: lambda o: self._pack(
+                "Assign", o.slice.number, o.backend.backend_id, o.weight
+            ),
             ClearTable: lambda o: self._pack("Empty", o.slice.number),
             BindProxy: lambda o: self._pack("HandTable", o.slice.number, o.proxy.number, 0),
-            SetWithdrawn: lambda o: self._pack("Withdraw", o.backend.ep, o.out),
+            SetWithdrawn: lambda o: self._pack("Withdraw", o.backend.backend_id, o.is_withdrawn),
             SetAdmissionLevel: lambda o: self._pack(
                 "Allow",
                 sum(1 << place for place in o.methods),
@@ -135,14 +137,14 @@
                 o.level,
                 int(o.retry),
             ),
-            Seal: lambda o: self._pack("Seal", o.number, o.everyone),
-            SetTimer: lambda o: self._pack("SetTimer", o.delay / MS, o.handle),
-            Probe: lambda o: self._pack("HealthCheck", o.backend.ep),
+            Seal: lambda o: self._pack("Seal", o.number, o.all_proxies),
+            SetTimer: lambda o: self._pack("SetTimer", o.delay_ms / MS, o.handle),
+            Probe: lambda o: self._pack("HealthCheck", o.backend.backend_id),
             SendToPeers: lambda o: self._pack(
                 "Post", EVERY_PEER if o.peer is None else o.peer, o.content
             ),
             LogDecision: lambda o: self._pack("Print", o.text.encode()[:400]),
-            FollowFleetList: lambda o: self._pack("Track", o.on),
+            FollowFleetList: lambda o: self._pack("Track", o.enabled),
             FetchFleetList: lambda o: self._pack("Pull"),
         }
 
@@ -195,7 +197,7 @@
 
     def _joined(self, number: int, first_time: int, size: float, zone: int) -> ProxyJoined:
         proxy = self.proxy(number)
-        proxy.size, proxy.zone, proxy.bound = _finite(size), zone, False
+        proxy.size, proxy.zone, proxy.is_bound = _finite(size), zone, False
         return ProxyJoined(proxy, bool(first_time))
 
     def _tries(
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -286,10 +286,11 @@
         while len(told) < 2:
             await trio.books.pause(10.0)
         first, later = told[:2]
-        assert first.out == [world.backend("s-1"), world.backend("s-2")] and later.out == [
-            world.backend("s-2")
-        ]
-        assert first.shares == {1: 0.5} and first.criticality == {1: 9.0}
+        assert first.out_of_service == [
+            world.backend("s-1"),
+            world.backend("s-2"),
+        ] and later.out_of_service == [world.backend("s-2")]
+        assert first.zone_shares == {1: 0.5} and first.method_criticality == {1: 9.0}
         task.cancel()
         door.close()
         client.close()
--- a/tests/play/network.py
+++ b/tests/play/network.py
@@ -89,9 +89,9 @@
         orders = self.due.pop(0) if self.due else []
         for one in rest + orders:  # the present state, as the decisions keep it
             if isinstance(one, SliceLeaseChanged):
-                one.slice.lines = {}
+                one.slice.table = {}
             elif isinstance(one, (StoredEntry, SetEntry)):
-                one.slice.lines[one.backend] = one.weight
+                one.slice.table[one.backend] = one.weight
         return orders
 
 
@@ -99,9 +99,9 @@
     """An event as words: its kind, then its fields with backends, slices and proxies by their ids."""
     if isinstance(event, FleetNews):
         return " ".join(
-            ["FleetNews", event.form.value]
+            ["FleetNews", event.kind.value]
             + [
-                f"{one.backend.name}:{one.phase.value}:{one.zone}:{one.started:g}:{one.size:g}"
+                f"{one.backend.name}:{one.phase.value}:{one.zone}:{one.started_at_ms:g}:{one.size:g}"
                 for one in event.listings
             ]
         )
@@ -305,7 +305,9 @@
             Random(7),
         )
         site = read_layout(self.site)
-        peer_listen, peers = (own, (own, self.udp[0].getsockname())) if site.peers else (None, ())
+        peer_listen, peers = (
+            (own, (own, self.udp[0].getsockname())) if site.has_peers else (None, ())
+        )
         place = Place(
             "n0",
             ("127.0.0.1", 0),
--- a/tests/play/stage.py
+++ b/tests/play/stage.py
@@ -69,17 +69,17 @@
 TERMS = SiteSettings(
     methods=(Method(1500.0, 5000.0, 1.0), Method(800.0, 2000.0, 3.0)),
     sliced=True,
-    one_owner=False,
+    has_single_owner=False,
     news_on_request=False,
-    sizes_told=True,
-    levels="ratio",
-    report_every=1000.0,
-    channel_rate=5.0,
-    head_lines=10.0,
-    pending_max=7500.0,
-    pushes_allowed=0,
-    update_window=10000.0,
-    warm_up=16000.0,
+    uses_listed_sizes=True,
+    admission_mode="ratio",
+    report_interval_ms=1000.0,
+    channel_entries_per_ms=5.0,
+    message_overhead_entries=10.0,
+    max_pending_entries=7500.0,
+    max_pushes_per_window=0,
+    push_window_ms=10000.0,
+    warm_up_ms=16000.0,
 )
 
 
@@ -98,7 +98,7 @@
         self.choice, self.joined, self.tables, self.out, self.levels = None, {}, {}, set(), {}
         self.said, self.sent, self.followed, self.bound, self.waiting = [], 0, 0, set(), {}
         self.forgotten: set[Backend] = set()
-        self.next_report, self.due = self.now + self.terms.report_every, []
+        self.next_report, self.due = self.now + self.terms.report_interval_ms, []
         self.state, self.repeats, self.sealed, self.free_at, self.last = None, 0, 0, self.now, 0.0
         self.told: dict[Proxy, set[Backend]] = {}  # withdrawn backends, as far as a proxy was told
 
@@ -121,12 +121,14 @@
             marks += [order.number] if isinstance(order, Seal) else []
         for number in marks:
             self.sealed = number
-            self.last = lines + self.terms.head_lines
+            self.last = lines + self.terms.message_overhead_entries
             self.waiting[number] = self.last * len(self.joined)
             if self.confirming == "paced":  # one proxy's message after the other
                 self.free_at = max(self.free_at, self.now)
                 for place, proxy in enumerate(self.joined, 1):
-                    self.free_at += (lines + self.terms.head_lines) / self.terms.channel_rate
+                    self.free_at += (
+                        lines + self.terms.message_overhead_entries
+                    ) / self.terms.channel_entries_per_ms
                     self.due.append(
                         (
                             self.free_at + 100.0,
@@ -154,13 +156,13 @@
                 del table[order.backend]
         elif isinstance(order, SetWithdrawn):
             for backends in (self.out, *self.told.values()):
-                (backends.add if order.out else backends.discard)(order.backend)
+                (backends.add if order.is_withdrawn else backends.discard)(order.backend)
         elif isinstance(order, SetAdmissionLevel):
             assert order.retry <= RetryMode.NEVER_RAN, "an effect may come twice"
             for slice_ in [order.slice] if order.slice else self.tables:
                 self.levels.update({(slice_, k): min(order.level, 1.0) for k in order.methods})
         elif isinstance(order, SetTimer):
-            self.due.append((self.now + order.delay, [TimerDue(order.handle)], 0))
+            self.due.append((self.now + order.delay_ms, [TimerDue(order.handle)], 0))
         elif isinstance(order, LogDecision):
             self.said.append(order.text)
         elif isinstance(order, ForgetBackend):
@@ -180,7 +182,7 @@
                 break
             self.now = at
             if at == self.next_report:
-                self.next_report += self.terms.report_every
+                self.next_report += self.terms.report_interval_ms
                 self.tell(*(make() for make in self.reports.values()))
                 continue
             entry = min(self.due, key=lambda one: one[0])
@@ -288,7 +290,7 @@
             int(total),
             int(aborted),
             float(took),
-            self.terms.report_every,
+            self.terms.report_interval_ms,
             (),
         )
 
@@ -300,13 +302,13 @@
                 int(total),
                 int(aborted),
                 float(took),
-                self.terms.report_every,
+                self.terms.report_interval_ms,
                 (),
             )
         )
 
     def do_heat(self, number: str, total: str, periods: str = "1") -> None:
-        span = self.terms.report_every * int(periods)
+        span = self.terms.report_interval_ms * int(periods)
         self.reports["heat", number] = lambda: (
             TimerDue(0)
             if self.now % span
