--- a/lifthinge/capture/against.py
+++ b/lifthinge/capture/against.py
@@ -70,7 +70,7 @@
         for record in records:
             self._one.play([record])
             self._other.play([record])
-            if record[0] != "t" or self._one.choice is None or self._other.choice is None:
+            if record[0] != "t" or self._one.policy is None or self._other.policy is None:
                 continue
             self.turns += 1
             ours, theirs = (
@@ -85,4 +85,4 @@
 
     def begin_life(self) -> None:
         """Another start of the program."""
-        self._one.choice = self._other.choice = None
+        self._one.policy = self._other.policy = None
--- a/lifthinge/capture/capture.py
+++ b/lifthinge/capture/capture.py
@@ -21,8 +21,8 @@
 class Capture:
     """Takes the place of a `Policy` before the controller; what it can't write in time is left out and marked."""
 
-    def __init__(self, choice: Policy, writer: SegmentWriter, counters: Counters) -> None:
-        self.recorder, self.writer, self.counters = Recorder(choice), writer, counters
+    def __init__(self, policy: Policy, writer: SegmentWriter, counters: Counters) -> None:
+        self.recorder, self.writer, self.counters = Recorder(policy), writer, counters
         self._due: SimpleQueue[list[list] | None] = SimpleQueue()
         self._waiting = 0  # records given to the thread, less those that it has written
         self._written: deque[int] = deque()
@@ -34,13 +34,13 @@
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
         """Decides, and puts it on record."""
         if self.failed:
-            return self.recorder.choice.decide(now, events)
+            return self.recorder.policy.decide(now, events)
         while self._written:
             self._waiting -= self._written.popleft()
         if self._waiting >= WAITING_MOST:
             self._left_out = now if self._left_out is None else self._left_out
             self.counters.add("capture.left_out")
-            return self.recorder.choice.decide(now, events)
+            return self.recorder.policy.decide(now, events)
         records: list[list] = []
         if self._left_out is not None:
             records.append(["x", self._left_out, now, "the disk was too slow"])
@@ -73,7 +73,7 @@
 
 
 def open_capture(
-    choice: Policy,
+    policy: Policy,
     folder: str,
     budget_mb: float,
     segment_mb: float,
@@ -83,4 +83,4 @@
     writer = SegmentWriter(
         Path(folder), head, int(budget_mb * (1 << 20)), int(segment_mb * (1 << 20))
     )
-    return Capture(choice, writer, counters)
+    return Capture(policy, writer, counters)
--- a/lifthinge/capture/codec.py
+++ b/lifthinge/capture/codec.py
@@ -40,8 +40,9 @@
     "s": (Slice, "number", ()),
     "p": (Proxy, "number", ("zone", "size", "is_bound")),
 }
-# Attributes of a `Policy` that are not written; `notes` is made anew, and `terms` stands in the head.
-SKIPPED = ("notes", "terms")
+# Attributes of a `Policy` that are not written: `event_handlers` is made anew, and `settings` stands
+# in the keyframe beside the state.
+SKIPPED = ("event_handlers", "settings")
 _BARE = frozenset((type(None), bool, int, float, str, bytes))
 _OBJECTS = frozenset((Backend, Slice, Proxy))
 
@@ -180,12 +181,12 @@
 
     # The whole decision state.
 
-    def export(self, choice: Policy) -> list:
+    def export(self, policy: Policy) -> list:
         """All that an instance will ever decide by: what it keeps itself, and what it keeps on the objects it knows."""
-        unnamed = vars(choice).keys() - set(STATE.values()) - set(SKIPPED)
+        unnamed = vars(policy).keys() - set(STATE.values()) - set(SKIPPED)
         if unnamed:
             raise TypeError(f"decision state without an outer name: {', '.join(sorted(unnamed))}")
-        own = {name: self.plain(getattr(choice, attribute)) for name, attribute in STATE.items()}
+        own = {name: self.plain(getattr(policy, attribute)) for name, attribute in STATE.items()}
         kept, done = [], 0
         while done < len(self._numbers):  # objects name further objects
             for one in list(self._numbers)[done:]:
@@ -204,15 +205,15 @@
         form, own, kept = state
         if form != FORM:
             raise Unreadable(f"a keyframe of form {form}, not {FORM}")
-        choice = kind(terms, 0)
+        policy = kind(terms, 0)
         for tag, number, *values in kept:
             one = self._objects[tag, number]
             for field, value in zip(fields(one), values, strict=True):
                 setattr(one, field.name, self.object(value))
-        known = {name for name, attribute in STATE.items() if attribute in vars(choice)}
+        known = {name for name, attribute in STATE.items() if attribute in vars(policy)}
         if kind is Policy and known != set(own):
             raise Unreadable(f"a keyframe of another text: {', '.join(sorted(known ^ set(own)))}")
         for name, value in own.items():
             if name in known:
-                setattr(choice, STATE[name], self.object(value))
-        return choice
+                setattr(policy, STATE[name], self.object(value))
+        return policy
--- a/lifthinge/capture/turns.py
+++ b/lifthinge/capture/turns.py
@@ -33,15 +33,15 @@
 class Recorder:
     """Stands before a `Policy` and puts on record what passes; `take` gives the records since the last call."""
 
-    def __init__(self, choice: Policy) -> None:
-        self.choice, self.coder = choice, Coder()
+    def __init__(self, policy: Policy) -> None:
+        self.policy, self.coder = policy, Coder()
         self._records: list[list] = []
         self.keyframe()
 
     def keyframe(self) -> None:
         """From here on a replay may begin, whatever becomes of what came before."""
-        state = self.coder.export(self.choice)
-        self._records.append(["k", self.coder.plain(self.choice.terms), self._all(), state])
+        state = self.coder.export(self.policy)
+        self._records.append(["k", self.coder.plain(self.policy.settings), self._all(), state])
 
     def _all(self) -> list:
         list(self.coder.defined())
@@ -53,7 +53,7 @@
         joined = [event.proxy for event in events if type(event) is ProxyJoined]
         given = [[*self.coder.plain(one), one.zone, one.size, one.is_bound] for one in joined]
         record = ["t", now, [list(one) for one in self.coder.defined()], given, told]
-        orders = self.choice.decide(now, events)
+        orders = self.policy.decide(now, events)
         record.append(digest_of(self.coder, orders))
         self._records.append(record)
         return orders
@@ -79,7 +79,7 @@
     def __init__(self, kind: type = Policy) -> None:
         self.kind = kind  # another text of the decisions orders otherwise: nothing is compared then
         self.coder: Coder | None = None
-        self.choice: Policy | None = None
+        self.policy: Policy | None = None
         self.events: list[Event] = []  # of the last turn, and what was ordered
         self.orders: list[Order] = []
         self.turns = self.skipped = 0
@@ -90,13 +90,13 @@
         for place, record in enumerate(records):
             kind = record[0] if record else None
             if kind == "k":
-                if self.choice is None:
+                if self.policy is None:
                     self._guard(place, lambda: self._begin(*record[1:]))
             elif kind == "x":
-                self.choice = None
+                self.policy = None
             elif kind != "t":
                 raise Unreadable(f"record {place} is of no kind known here")
-            elif self.choice is None:
+            elif self.policy is None:
                 self.skipped += 1
             else:
                 told = self._guard(place, lambda: self._told(*record[1:]))
@@ -125,7 +125,7 @@
         self.coder = Coder()
         for one in definitions:
             self.coder.define(*one)
-        self.choice = self.coder.restore(self.coder.object(terms), state, self.kind)
+        self.policy = self.coder.restore(self.coder.object(terms), state, self.kind)
 
     def _told(
         self, now: float, definitions: list, given: list, told: list, digest: bytes
@@ -138,7 +138,7 @@
         return now + 0.0, [self.coder.object(one) for one in told], digest
 
     def _turn(self, place: int, now: float, events: list[Event], digest: bytes) -> Parted | None:
-        orders = self.choice.decide(now, events)
+        orders = self.policy.decide(now, events)
         self.events, self.orders = events, orders
         found = digest_of(self.coder, orders)
         self.digest.update(found)
--- a/lifthinge/cli/replay.py
+++ b/lifthinge/cli/replay.py
@@ -41,7 +41,7 @@
             stop(f"{read.path}: {read.why}")
         head, records = read
         if head.get("life") != life:  # another start of the program: other numbers, another state
-            played.choice, life = None, head.get("life")
+            played.policy, life = None, head.get("life")
             if other:
                 other.begin_life()
         if until is not None:
--- a/lifthinge/lab/capturebench.py
+++ b/lifthinge/lab/capturebench.py
@@ -108,11 +108,11 @@
 
 def _play(backends: int, proxies: int, turns: int, folder: Path | None) -> dict[str, Any]:
     """One day of so many turns; `folder` has it captured."""
-    load, choice, counters = Load(backends, proxies, 5), Policy(TERMS, 5), Counters()
+    load, policy, counters = Load(backends, proxies, 5), Policy(TERMS, 5), Counters()
     decider = (
-        choice
+        policy
         if folder is None
-        else Capture(choice, SegmentWriter(folder, {"life": 1}, 1 << 34, 4 << 20), counters)
+        else Capture(policy, SegmentWriter(folder, {"life": 1}, 1 << 34, 4 << 20), counters)
     )
     waits, told, now, events = [], 0, 0.0, load.start()
     gc.collect()
--- a/lifthinge/outer_names.py
+++ b/lifthinge/outer_names.py
@@ -121,9 +121,16 @@
 }
 # The decision state in a keyframe: outer name to attribute, in the order in which they are written.
 STATE: dict[str, str] = _pairs(
-    "dice soft ranks by_hand shares backends slices proxies dirty levels_due now fold_at round_at"
-    " wake_at cool_until plan_worst follow_at untold untold_at joined_at clear_at horizon spans"
-    " usual good fair stress let plan seal channel way said owed"
+    "dice=random soft=shortest_soft_deadline_ms ranks=methods_by_criticality by_hand=out_of_service"
+    " shares=zone_shares backends slices proxies dirty=needs_planning"
+    " levels_due=admission_reset_due now=now_ms fold_at=next_evaluation_ms round_at=next_round_ms"
+    " wake_at=next_wake_ms cool_until=cool_off_until_ms plan_worst=worst_violation"
+    " follow_at=follow_list_at_ms untold=unannounced_withdrawals"
+    " untold_at=announce_withdrawals_at_ms joined_at=last_join_ms clear_at=unknown_call_blocked_ms"
+    " horizon=mean_report_span_ms spans=report_span_sums usual=mean_report_attempts"
+    " good=ok_fraction fair=warm_ok_rate_per_size stress=zone_stress let=zone_admission"
+    " plan=running_moves seal=last_seal channel way=channel_state said=other_orders"
+    " owed=pending_slices"
 )
 _OUTER_NAMES: dict[type, str] = {
     **{kind.type: name for name, kind in KINDS.items()},
--- a/lifthinge/policy.py
+++ b/lifthinge/policy.py
@@ -1,6 +1,6 @@
 """The decisions of lifthinge: which backend serves which slice, and what the proxies are told of it.
 
-How it is invoked: an adapter makes one `Policy(terms, seed)` for each instance and calls
+How it is invoked: an adapter makes one `Policy(settings, seed)` for each instance and calls
 `decide(now, events)` once for each batch that holds an event for it; the orders that come back take
 effect in their order. The types at this door are in `lifthinge/interface.py`; why things are as they
 are is in `docs/design.md`. Nothing here reads a clock, a file or the network.
@@ -120,50 +120,57 @@
     """One instance's decisions."""
 
     def __init__(self, terms: SiteSettings, seed: int) -> None:
-        self.terms, self.dice, self.soft = (
+        self.settings, self.random, self.shortest_soft_deadline_ms = (
             terms,
             Random(seed),
             min(m.soft_deadline_ms for m in terms.methods),
         )
-        self.ranks = self._rank({})
-        self.by_hand, self.zone_shares = (
+        self.methods_by_criticality = self._group_by_criticality({})
+        self.out_of_service, self.zone_shares = (
             {},
             {},
         )  # backends out of service by hand; by zone, of usual work
         self.backends: dict[Backend, None] = {}  # every one ever listed or named by the store
         self.slices: dict[Slice, None] = {}  # in this instance's charge
         self.proxies: dict[Proxy, None] = {}  # joined
-        self.notes = {  # what waits for a proxy that left counts until it is out for sure
-            OperatorOverrides: self._note_by_hand,
-            FleetNews: self._note_fleet,
-            ProxyJoined: self._note_join,
-            AttemptReport: self._note_tries,
-            SliceHeatReport: self._note_heat,
-            SliceLeaseChanged: self._note_lease,
-            StoredEntry: self._note_line,
-            WithdrawalState: self._note_out,
+        self.event_handlers = {  # what waits for a proxy that left counts until it is out for sure
+            OperatorOverrides: self._on_operator_overrides,
+            FleetNews: self._on_fleet_news,
+            ProxyJoined: self._on_proxy_joined,
+            AttemptReport: self._on_attempt_report,
+            SliceHeatReport: self._on_slice_heat,
+            SliceLeaseChanged: self._on_lease_changed,
+            StoredEntry: self._on_stored_entry,
+            WithdrawalState: self._on_withdrawal_state,
             ProxyLeft: lambda event: self.proxies.pop(event.proxy, None),
-            ChannelState: lambda event: setattr(self, "way", event),
-            SealConfirmed: lambda event: self.channel.confirmed(event.seal, event.proxy),
+            ChannelState: lambda event: setattr(self, "channel_state", event),
+            SealConfirmed: lambda event: self.channel.record_confirmation(event.seal, event.proxy),
         }
-        self.dirty = self.levels_due = True
-        self.now = self.fold_at = self.round_at = self.wake_at = self.cool_until = (
-            self.plan_worst
-        ) = 0.0
-        self.follow_at = 0.0 if terms.news_on_request else NEVER
-        self.untold, self.untold_at = {}, 0.0  # withdrawals that late joiners missed; when to tell
-        self.joined_at = 0.0  # when a proxy last joined
-        self.clear_at = 0.0  # when a call of unknown fate last had others before it
-        self.horizon = terms.report_interval_ms  # the mean span of a report of late, by its tries
-        self.spans = 0.0, 0.0  # of this period's reports, times their tries; the tries
-        self.usual = 0.0  # a report's tries
-        self.good = 1.0  # part of all tries that goes well
-        self.fair = 0.0  # RPCs that go well for each warm unit of size
-        self.stress: dict[int, float] = {}  # zone: mean latency in shortest soft deadlines
-        self.let: dict[int, tuple[float, float]] = {}  # zone: part that is let in, and since when
-        self.plan: dict[Slice, Backend] = {}  # moves that still run: slice to former owner
-        self.seal, self.channel, self.way = 0, Channel(), ChannelState(True)
-        self.said, self.pending_orders = (
+        self.needs_planning = self.admission_reset_due = True
+        self.now_ms = self.next_evaluation_ms = self.next_round_ms = self.next_wake_ms = (
+            self.cool_off_until_ms
+        ) = self.worst_violation = 0.0
+        self.follow_list_at_ms = 0.0 if terms.news_on_request else NEVER
+        self.unannounced_withdrawals, self.announce_withdrawals_at_ms = (
+            {},
+            0.0,
+        )  # withdrawals that late joiners missed; when to tell
+        self.last_join_ms = 0.0  # when a proxy last joined
+        self.unknown_call_blocked_ms = 0.0  # when a call of unknown fate last had others before it
+        self.mean_report_span_ms = (
+            terms.report_interval_ms
+        )  # the mean span of a report of late, by its tries
+        self.report_span_sums = 0.0, 0.0  # of this period's reports, times their tries; the tries
+        self.mean_report_attempts = 0.0  # a report's tries
+        self.ok_fraction = 1.0  # part of all tries that goes well
+        self.warm_ok_rate_per_size = 0.0  # RPCs that go well for each warm unit of size
+        self.zone_stress: dict[int, float] = {}  # zone: mean latency in shortest soft deadlines
+        self.zone_admission: dict[
+            int, tuple[float, float]
+        ] = {}  # zone: part that is let in, and since when
+        self.running_moves: dict[Slice, Backend] = {}  # moves that still run: slice to former owner
+        self.last_seal, self.channel, self.channel_state = 0, Channel(), ChannelState(True)
+        self.other_orders, self.pending_slices = (
             [],
             [],
         )  # orders beside tables; tables to be written, by worth
@@ -172,22 +179,22 @@
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
         """What is ordered after one batch."""
-        self.now, self.said = now, []
+        self.now_ms, self.other_orders = now, []
         for event in events:
-            self.notes.get(type(event), lambda _: None)(event)
-        if now >= self.fold_at:
-            self.fold_at = now + self.terms.report_interval_ms
-            self._fold()
-        if now >= self.round_at:
-            self.round_at = now + ROUND_EVERY
-            self._round()
-        return self._emit() + self.said
+            self.event_handlers.get(type(event), lambda _: None)(event)
+        if now >= self.next_evaluation_ms:
+            self.next_evaluation_ms = now + self.settings.report_interval_ms
+            self._evaluate_reports()
+        if now >= self.next_round_ms:
+            self.next_round_ms = now + ROUND_EVERY
+            self._run_round()
+        return self._emit_orders() + self.other_orders
 
     # What is known.
 
-    def _note_fleet(self, news: FleetNews) -> None:
+    def _on_fleet_news(self, news: FleetNews) -> None:
         if news.kind is FleetNewsKind.MISSED:
-            self.follow_at = self.now + ROUND_EVERY * (1 + self.dice.random())
+            self.follow_list_at_ms = self.now_ms + ROUND_EVERY * (1 + self.random.random())
             return
         listed = {}
         for entry in news.listings:
@@ -196,70 +203,75 @@
             # A fresh start is a fresh backend, listed as gone in between or not: old tables may flood it.
             if (
                 entry.started_at_ms > backend.started_at_ms
-                and entry.started_at_ms + self.terms.warm_up_ms > self.now
+                and entry.started_at_ms + self.settings.warm_up_ms > self.now_ms
             ):
                 backend.ramp_start_ms, backend.ramp_duration_ms = (
                     entry.started_at_ms,
-                    self.terms.warm_up_ms,
+                    self.settings.warm_up_ms,
                 )
                 backend.ejected_until_ms, backend.is_on_probation = 0.0, False
-                self._forget(backend)
+                self._clear_statistics(backend)
             backend.zone, backend.listed_phase, backend.started_at_ms = (
                 entry.zone,
                 entry.phase,
                 entry.started_at_ms,
             )
             backend.listed_size = (
-                entry.size if self.terms.uses_listed_sizes and entry.size > 0 else 1.0
+                entry.size if self.settings.uses_listed_sizes and entry.size > 0 else 1.0
             )
         for backend in (
             b for b in self.backends if news.kind is not FleetNewsKind.DELTA and b not in listed
         ):
             backend.listed_phase = Phase.GONE
-        self._settle()
+        self._update_phases()
 
-    def _rank(self, worth: dict[int, float]) -> list[tuple[int, ...]]:
+    def _group_by_criticality(self, worth: dict[int, float]) -> list[tuple[int, ...]]:
         """Methods of the least criticality, and the others."""
-        worths = [worth.get(k, m.criticality) for k, m in enumerate(self.terms.methods)]
+        worths = [worth.get(k, m.criticality) for k, m in enumerate(self.settings.methods)]
         return [
             tuple(k for k, one in enumerate(worths) if (one > min(worths)) == high)
             for high in (False, True)
         ]
 
-    def _note_by_hand(self, event: OperatorOverrides) -> None:
-        self.by_hand, self.zone_shares = dict.fromkeys(event.out_of_service), event.zone_shares
-        if (ranks := self._rank(event.method_criticality)) != self.ranks:
-            self.ranks, self.levels_due = (
+    def _on_operator_overrides(self, event: OperatorOverrides) -> None:
+        self.out_of_service, self.zone_shares = (
+            dict.fromkeys(event.out_of_service),
+            event.zone_shares,
+        )
+        if (
+            ranks := self._group_by_criticality(event.method_criticality)
+        ) != self.methods_by_criticality:
+            self.methods_by_criticality, self.admission_reset_due = (
                 ranks,
                 True,
             )  # all are let in, then levels follow the new ranks
             for one in self.slices:
                 one.admission_levels = (1.0, 1.0)
-        self._settle()
+        self._update_phases()
 
-    def _settle(self) -> None:
+    def _update_phases(self) -> None:
         """Phases as listed, but who is out by hand is as good as draining, while a warm one is left.
 
         Against an agreed document that takes out too much: the list has them ready, rules 1 and 4 hold.
         """
         acts = any(
             b.listed_phase is Phase.READY
-            and b not in self.by_hand
-            and self._share(b) >= 1
-            and b.ejected_until_ms <= self.now
+            and b not in self.out_of_service
+            and self._warm_up_share(b) >= 1
+            and b.ejected_until_ms <= self.now_ms
             for b in self.backends
         )
         for backend in self.backends:
-            held = acts and backend in self.by_hand and backend.listed_phase is Phase.READY
+            held = acts and backend in self.out_of_service and backend.listed_phase is Phase.READY
             backend.phase = Phase.DRAINING if held else backend.listed_phase
             backend.size = backend.listed_size * self.zone_shares.get(backend.zone, 1.0)
-        if self.by_hand and not acts:
-            self.said.append(
+        if self.out_of_service and not acts:
+            self.other_orders.append(
                 LogDecision("out of service by hand does not act: nobody warm would be left")
             )
-        self.dirty = True
+        self.needs_planning = True
 
-    def _forget(self, backend: Backend) -> None:
+    def _clear_statistics(self, backend: Backend) -> None:
         backend.latency_minimum.clear()
         backend.outcomes.clear()
         (
@@ -269,42 +281,51 @@
             backend.decayed_ok_totals,
         ) = None, 0, 0.0, (0.0, 0.0)
 
-    def _note_join(self, event: ProxyJoined) -> None:
-        self.proxies[event.proxy], self.joined_at = None, self.now
-        self._tell_again(b for b in self.backends if b.is_withdrawn)
+    def _on_proxy_joined(self, event: ProxyJoined) -> None:
+        self.proxies[event.proxy], self.last_join_ms = None, self.now_ms
+        self._schedule_announcement(b for b in self.backends if b.is_withdrawn)
 
-    def _tell_again(self, backends: Iterable[Backend]) -> None:
+    def _schedule_announcement(self, backends: Iterable[Backend]) -> None:
         """Some proxy may have missed that these are withdrawn."""
-        self.untold_at = self.untold_at if self.untold else self.now + PUSH_AFTER * JOINS_GATHER
-        self.untold.update(dict.fromkeys(backends))
+        self.announce_withdrawals_at_ms = (
+            self.announce_withdrawals_at_ms
+            if self.unannounced_withdrawals
+            else self.now_ms + PUSH_AFTER * JOINS_GATHER
+        )
+        self.unannounced_withdrawals.update(dict.fromkeys(backends))
 
-    def _note_tries(self, report: AttemptReport) -> None:
+    def _on_attempt_report(self, report: AttemptReport) -> None:
         # No report counts for much more than the others do of late: many sane ones outweigh a wild one.
-        backend, usual = report.backend, self.usual or report.attempts
+        backend, usual = report.backend, self.mean_report_attempts or report.attempts
         part = min(max(2 * WILD * usual, BAD_LEAST) / max(report.attempts, 1), 1.0)
         ok = part * max(report.attempts - report.aborted_attempts, 0)
         total = ok + min(part * report.aborted_attempts, max(WILD * usual, BAD_LEAST))
-        self.usual = usual + (total - usual) * USUAL_NEW
-        self.spans = self.spans[0] + report.span_ms * total, self.spans[1] + total
+        self.mean_report_attempts = usual + (total - usual) * USUAL_NEW
+        self.report_span_sums = (
+            self.report_span_sums[0] + report.span_ms * total,
+            self.report_span_sums[1] + total,
+        )
         backend.ok_attempts, backend.aborted_attempts = (
             backend.ok_attempts + ok,
             backend.aborted_attempts + total - ok,
         )
         backend.ok_latency_sum_ms += ok * report.mean_latency_ms
 
-    def _note_heat(self, report: SliceHeatReport) -> None:
+    def _on_slice_heat(self, report: SliceHeatReport) -> None:
         one = report.slice
-        one.admitted_rpcs += report.rpcs * one.admission_levels[report.method in self.ranks[1]]
+        one.admitted_rpcs += (
+            report.rpcs * one.admission_levels[report.method in self.methods_by_criticality[1]]
+        )
         most = max(sum(s.heat or 0.0 for s in self.slices), WILD * (one.heat or 0.0))  # of all
         rate = min(report.rpcs / max(report.span_ms, 1.0), most if one.method_rates else NEVER)
         one.method_rates[report.method] = (
             (one.method_rates.get(report.method, (rate, 0.0))[0] + rate) / 2,
-            self.now,
+            self.now_ms,
         )
 
-    def _note_lease(self, event: SliceLeaseChanged) -> None:
+    def _on_lease_changed(self, event: SliceLeaseChanged) -> None:
         one = event.slice
-        self.plan.pop(one, None), self.slices.pop(one, None)
+        self.running_moves.pop(one, None), self.slices.pop(one, None)
         one.is_leased, one.table, one.owner, one.desired_shares, one.heat = (
             event.is_granted,
             {},
@@ -314,21 +335,21 @@
         )
         one.pending_orders, one.method_rates, one.admission_levels = [], {}, (1.0, 1.0)
         if event.is_granted:
-            self.slices[one], self.levels_due = None, True
-        self.dirty = True
+            self.slices[one], self.admission_reset_due = None, True
+        self.needs_planning = True
 
-    def _note_line(self, event: StoredEntry) -> None:
+    def _on_stored_entry(self, event: StoredEntry) -> None:
         one = event.slice
         if one.is_leased and event.weight > 0:
             self.backends[event.backend], one.table[event.backend] = None, event.weight
             if (
                 event.backend.is_withdrawn
             ):  # maybe while no table named it: who joined since was not told
-                self._tell_again([event.backend])
+                self._schedule_announcement([event.backend])
             one.owner = max(one.table, key=lambda b: (b.phase is Phase.READY, one.table[b]))
 
-    def _note_out(self, event: WithdrawalState) -> None:
-        self.backends[event.backend], event.backend.is_withdrawn, self.dirty = (
+    def _on_withdrawal_state(self, event: WithdrawalState) -> None:
+        self.backends[event.backend], event.backend.is_withdrawn, self.needs_planning = (
             None,
             event.is_withdrawn,
             True,
@@ -336,7 +357,7 @@
 
     # What it means.
 
-    def _share(self, backend: Backend) -> float:
+    def _warm_up_share(self, backend: Backend) -> float:
         """The part of a warm backend's work that this one may be given: rises in steps after a start."""
         if backend.ramp_start_ms is None:
             return 1.0
@@ -344,10 +365,10 @@
             backend.is_on_probation
         ):  # a trace, until it proves well: one that still hangs costs little
             return TRIAL
-        passed = (self.now - backend.ramp_start_ms) / backend.ramp_duration_ms
+        passed = (self.now_ms - backend.ramp_start_ms) / backend.ramp_duration_ms
         return max(share for part, share in STEPS if part <= max(passed, 0.0))
 
-    def _limit(self, backend: Backend) -> float:
+    def _heat_limit(self, backend: Backend) -> float:
         """The heat that a backend easing in may have: by what goes well at warm ones, not by what comes in.
 
         So no retry storm pushes it over; and it is this instance's part of a budget that all share unseen.
@@ -355,122 +376,132 @@
         well = (1.0 - backend.outcomes.share_from(WRONG)) ** 2  # less where it pushes back
         return (
             well
-            * self._share(backend)
+            * self._warm_up_share(backend)
             * backend.size
-            * (self.fair or UNSEEN_PART * self._mean_heat())
+            * (self.warm_ok_rate_per_size or UNSEEN_PART * self._mean_heat())
         )
 
-    def _part(self, backend: Backend) -> float:
+    def _owner_share(self, backend: Backend) -> float:
         """The part of its own slices' RPCs that goes to their owner, in the same few steps.
 
         What the other lines push back comes to the owner as well, and may leave room for nothing.
         """
-        if self._share(backend) >= 1 or backend.is_on_probation:
-            return self._share(backend)
-        part = min(self._limit(backend) / max(backend.owned_heat, 1e-9), 1.0)
-        part = 1 - (1 - part) / max(self.good, 1e-9)
+        if self._warm_up_share(backend) >= 1 or backend.is_on_probation:
+            return self._warm_up_share(backend)
+        part = min(self._heat_limit(backend) / max(backend.owned_heat, 1e-9), 1.0)
+        part = 1 - (1 - part) / max(self.ok_fraction, 1e-9)
         return max((step for _, step in STEPS if step <= part + NEAR), default=0.0)
 
-    def _open(self, backend: Backend) -> bool:
-        return backend.phase is Phase.READY and backend.ejected_until_ms <= self.now
+    def _is_open(self, backend: Backend) -> bool:
+        return backend.phase is Phase.READY and backend.ejected_until_ms <= self.now_ms
 
-    def _usable(self, backend: Backend) -> bool:
-        return self._open(backend) and not backend.is_withdrawn
+    def _is_usable(self, backend: Backend) -> bool:
+        return self._is_open(backend) and not backend.is_withdrawn
 
-    def _warm(self, backend: Backend) -> bool:
-        return self._open(backend) and self._share(backend) >= 1
+    def _is_warm(self, backend: Backend) -> bool:
+        return self._is_open(backend) and self._warm_up_share(backend) >= 1
 
-    def _fold(self) -> None:
+    def _evaluate_reports(self) -> None:
         """Takes in a period's reports: heat of slices, ratios of backends, who is sick."""
-        (span, tries), self.spans = self.spans, (0.0, 0.0)
-        span = max(span / tries, self.terms.report_interval_ms) if tries else self.horizon
-        self.horizon += (span - self.horizon) * HORIZON_NEW
+        (span, tries), self.report_span_sums = self.report_span_sums, (0.0, 0.0)
+        span = (
+            max(span / tries, self.settings.report_interval_ms)
+            if tries
+            else self.mean_report_span_ms
+        )
+        self.mean_report_span_ms += (span - self.mean_report_span_ms) * HORIZON_NEW
         for one in self.slices:
             for method, (
                 rate,
                 at,
             ) in one.method_rates.items():  # silence means no RPC only where lines get in
-                if self.now - at > UNHEARD_AFTER * self.horizon:
-                    one.method_rates[method] = rate / 2, self.now - self.horizon
+                if self.now_ms - at > UNHEARD_AFTER * self.mean_report_span_ms:
+                    one.method_rates[method] = rate / 2, self.now_ms - self.mean_report_span_ms
             one.heat = (
                 sum(rate for rate, _ in one.method_rates.values()) if one.method_rates else one.heat
             )
             if (
                 one.rpcs_shifted_at_ms is None
-                or self.now - one.rpcs_shifted_at_ms > SETTLED_AFTER * self.horizon
+                or self.now_ms - one.rpcs_shifted_at_ms > SETTLED_AFTER * self.mean_report_span_ms
             ):
                 for backend, part in active_shares(one.table).items():
                     backend.expected_rpcs += one.admitted_rpcs * part
             one.admitted_rpcs = 0.0
         for backend in self.backends:
-            self._measure(backend)
-        if self.by_hand:
-            self._settle()
-        self._drop_gone()
-        self._weigh()
-        self._weigh_zones()
-        self._judge_sick()
-        self._judge_ratios()
-        self.dirty = True
-
-    def _drop_gone(self) -> None:
+            self._update_latency(backend)
+        if self.out_of_service:
+            self._update_phases()
+        self._drop_gone_backends()
+        self._update_heat()
+        self._update_zone_admission()
+        self._eject_failing_backends()
+        self._count_violations()
+        self.needs_planning = True
+
+    def _drop_gone_backends(self) -> None:
         """Forgets who is gone and named nowhere: each start may bring new ids, for good."""
-        if gone := {b for b in self.backends if b.phase is Phase.GONE} - set(self.plan.values()):
+        if gone := {b for b in self.backends if b.phase is Phase.GONE} - set(
+            self.running_moves.values()
+        ):
             gone.difference_update(*([*s.table, *s.desired_shares, s.owner] for s in self.slices))
-            self.said += [ForgetBackend(b) for b in self.backends if b in gone and b.is_withdrawn]
+            self.other_orders += [
+                ForgetBackend(b) for b in self.backends if b in gone and b.is_withdrawn
+            ]
             self.backends = {b: None for b in self.backends if b not in gone or not b.is_withdrawn}
 
-    def _measure(self, backend: Backend) -> None:
+    def _update_latency(self, backend: Backend) -> None:
         """A report's latency over the backend's own lowest of the last minute, and its outcomes."""
-        backend.latency_minimum.forget(self.now - LOW_SPAN)
+        backend.latency_minimum.drop_before(self.now_ms - LOW_SPAN)
         if backend.ok_attempts:
             backend.decayed_ok_totals = (
                 backend.decayed_ok_totals[0] / 2 + backend.ok_attempts,
                 backend.decayed_ok_totals[1] / 2 + backend.ok_latency_sum_ms,
             )
             backend.mean_latency_ms = backend.decayed_ok_totals[1] / backend.decayed_ok_totals[0]
-            backend.latency_minimum.add(self.now, backend.mean_latency_ms)
+            backend.latency_minimum.add(self.now_ms, backend.mean_latency_ms)
             backend.smoothed_latency_ms = (
                 backend.smoothed_latency_ms + backend.mean_latency_ms
             ) / 2
-            backend.lowest_latency_ms = max(backend.latency_minimum.value(), 1e-3)
+            backend.lowest_latency_ms = max(backend.latency_minimum.minimum(), 1e-3)
             backend.latency_ratio, backend.last_ok_at_ms = (
                 backend.mean_latency_ms / backend.lowest_latency_ms,
-                self.now,
+                self.now_ms,
             )
-        elif self.now - (backend.last_ok_at_ms or 0.0) > UNHEARD_AFTER * self.horizon:
+        elif (
+            self.now_ms - (backend.last_ok_at_ms or 0.0) > UNHEARD_AFTER * self.mean_report_span_ms
+        ):
             backend.latency_ratio = None
         backend.outcomes.add(WELL, backend.ok_attempts)
         backend.outcomes.add(WRONG, backend.aborted_attempts)
         if (
             backend.is_on_probation
-            and self._usable(backend)
+            and self._is_usable(backend)
             and backend.outcomes.bins[0] >= TRIAL_LEAST
         ):
-            backend.is_on_probation, backend.ramp_start_ms = False, self.now
+            backend.is_on_probation, backend.ramp_start_ms = False, self.now_ms
         backend.rpcs_since_ok = (
             0.0 if backend.ok_attempts else backend.rpcs_since_ok + backend.expected_rpcs
         )
 
-    def _crowded(self, backend: Backend) -> bool:
-        return backend.mean_latency_ms > STRESS_LOW * self.soft
+    def _is_crowded(self, backend: Backend) -> bool:
+        return backend.mean_latency_ms > STRESS_LOW * self.shortest_soft_deadline_ms
 
-    def _weigh_zones(self) -> None:
+    def _update_zone_admission(self) -> None:
         """Sets what part each zone lets in, from the zone's own latencies: down at once, back in steps.
 
         Against the retry storms in which a crowded fleet stays crowded, whatever began them. It harms where
         RPCs are slow by nature: there the low criticality is pushed back for nothing.
         """
-        warm = [b for b in self.backends if self._warm(b)]
+        warm = [b for b in self.backends if self._is_warm(b)]
         tries, bad = (
             sum(b.ok_attempts + b.aborted_attempts for b in self.backends),
             sum(b.aborted_attempts for b in self.backends),
         )
-        self.good = (self.good + 1 - bad / max(tries, 1e-9)) / 2
-        self.fair = (
-            self.fair
+        self.ok_fraction = (self.ok_fraction + 1 - bad / max(tries, 1e-9)) / 2
+        self.warm_ok_rate_per_size = (
+            self.warm_ok_rate_per_size
             + sum(b.ok_attempts for b in warm)
-            / self.terms.report_interval_ms
+            / self.settings.report_interval_ms
             / max(sum(b.size for b in warm), 1e-9)
         ) / 2
         for zone in dict.fromkeys(b.zone for b in self.backends if b.ok_attempts):
@@ -478,23 +509,23 @@
             stress = (
                 sum(b.ok_latency_sum_ms for b in here)
                 / sum(b.ok_attempts for b in here)
-                / self.soft
+                / self.shortest_soft_deadline_ms
             )
-            stress = self.stress[zone] = (self.stress.get(zone, 0.0) + stress) / 2
-            let, since = self.let.get(zone, (1.0, 0.0))
+            stress = self.zone_stress[zone] = (self.zone_stress.get(zone, 0.0) + stress) / 2
+            let, since = self.zone_admission.get(zone, (1.0, 0.0))
             well = sum(b.ok_attempts for b in here) / sum(
                 b.ok_attempts + b.aborted_attempts for b in here
             )
             if stress > STRESS_HIGH:
-                self.let[zone] = (
+                self.zone_admission[zone] = (
                     max(let * min(max(well, LET_CUT[0]), LET_CUT[1]), LET_LEAST),
-                    self.now,
+                    self.now_ms,
                 )
-            elif stress < STRESS_LOW and self.now - since > LET_EVERY * self.horizon:
-                self.let[zone] = min(let + LET_STEP, 1.0), self.now
+            elif stress < STRESS_LOW and self.now_ms - since > LET_EVERY * self.mean_report_span_ms:
+                self.zone_admission[zone] = min(let + LET_STEP, 1.0), self.now_ms
 
-    def _judge_ratios(self) -> None:
-        mark = VIOLATOR_MARK * self._median()
+    def _count_violations(self) -> None:
+        mark = VIOLATOR_MARK * self._median_latency_ratio()
         for backend in self.backends:
             if backend.ok_attempts or backend.latency_ratio is None:
                 own = (
@@ -510,24 +541,24 @@
                 backend.ok_latency_sum_ms
             ) = 0.0
 
-    def _median(self) -> float:
+    def _median_latency_ratio(self) -> float:
         return median(
             [
                 b.latency_ratio
                 for b in self.backends
-                if b.latency_ratio is not None and self._open(b)
+                if b.latency_ratio is not None and self._is_open(b)
             ]
             or [1.0]
         )
 
-    def _judge_sick(self) -> None:
+    def _eject_failing_backends(self) -> None:
         """Shuts out backends that fail far more than the fleet yet are quick, or where nothing ends well.
 
         It covers fast errors, crashes and cuts before the list tells, and hangs. A crowded one is moved from:
         shutting it would crowd the next. A broad trouble (squeezed connections, one method unanswered, a slow
         path, a bad view) hands no work to the rest, who could not do it. Harm: a fifth truly hung stay in.
         """
-        opened = [b for b in self.backends if self._open(b)]
+        opened = [b for b in self.backends if self._is_open(b)]
         judged = {
             b: b.outcomes.share_from(WRONG) for b in opened if b.outcomes.total() >= BAD_LEAST
         }
@@ -535,127 +566,138 @@
         sick = [
             b
             for b in opened
-            if not (self._crowded(b) or b.smoothed_latency_ms > STRESS_LOW * self.soft)
+            if not (
+                self._is_crowded(b)
+                or b.smoothed_latency_ms > STRESS_LOW * self.shortest_soft_deadline_ms
+            )
             and judged.get(b, 0.0)
             >= (mark if b.ok_attempts and b.latency_ratio <= QUICK else ALL_BAD)
             or b.rpcs_since_ok >= DRY_LEAST
-            and self.now - (b.last_ok_at_ms or 0.0)
+            and self.now_ms - (b.last_ok_at_ms or 0.0)
             > max(
-                2 * self.horizon,
+                2 * self.mean_report_span_ms,
                 max(
-                    m.deadline_ms if self._crowded(b) else m.soft_deadline_ms
-                    for m in self.terms.methods
+                    m.deadline_ms if self._is_crowded(b) else m.soft_deadline_ms
+                    for m in self.settings.methods
                 ),
             )
         ]
         ready = [b for b in self.backends if b.phase is Phase.READY]
-        out = [b for b in ready if not self._open(b)]
+        out = [b for b in ready if not self._is_open(b)]
         suspects = sum(b in sick or judged.get(b, 0.0) >= BROAD_SHARE for b in opened)
         if len(out) + suspects > max(BROAD_MOST * len(ready), 1):
             for backend in out:
-                backend.ejected_until_ms = self.now
+                backend.ejected_until_ms = self.now_ms
             return
         for backend in sick:
-            self.said.append(
+            self.other_orders.append(
                 LogDecision(
                     f"shut out {backend.name}: {judged.get(backend, 0):.0%} of its tries"
                     f" went wrong, {backend.rpcs_since_ok:.0f} asked since one went well"
                 )
             )
-            backend.ejected_until_ms = self.now + SHUT_FIRST * 2 ** min(backend.ejection_count, 2)
+            backend.ejected_until_ms = self.now_ms + SHUT_FIRST * 2 ** min(
+                backend.ejection_count, 2
+            )
             backend.ramp_start_ms, backend.ramp_duration_ms = (
                 backend.ejected_until_ms,
-                HEALED_PART * self.terms.warm_up_ms,
+                HEALED_PART * self.settings.warm_up_ms,
             )
             backend.ejection_count, backend.is_on_probation = backend.ejection_count + 1, True
-            self._forget(backend)
+            self._clear_statistics(backend)
 
     # The mechanism.
 
-    def _round(self) -> None:
+    def _run_round(self) -> None:
         """One round of the placement loop: worst violator first, hottest slices first."""
         for backend in self.backends:
             backend.outcomes.halve()
-        middle, used = self._median(), {}
+        middle, used = self._median_latency_ratio(), {}
         violators = sorted(
             (
                 b
                 for b in self.backends
-                if self._open(b)
+                if self._is_open(b)
                 and b.latency_ratio is not None
                 and b.consecutive_violations >= VIOLATOR_REPORTS
             ),
             key=lambda b: -b.latency_ratio,
         )
-        former, self.plan_worst = (
-            self.plan_worst,
+        former, self.worst_violation = (
+            self.worst_violation,
             violators[0].latency_ratio / middle if violators else 0.0,
         )
-        if self.plan and self.plan_worst > former:
-            self._cancel()
-        if not self.terms.sliced or self.terms.has_single_owner:
+        if self.running_moves and self.worst_violation > former:
+            self._cancel_moves()
+        if not self.settings.sliced or self.settings.has_single_owner:
             return
-        budget = 0 if self.plan or self.now < self.cool_until else MOVE_BUDGET
+        budget = 0 if self.running_moves or self.now_ms < self.cool_off_until_ms else MOVE_BUDGET
         for violator in violators:
             for one in sorted(
                 (
                     s
                     for s in self.slices
                     if s.owner is violator
-                    and s.move_blocked_until_ms <= self.now
+                    and s.move_blocked_until_ms <= self.now_ms
                     and s.heat >= WORTH_MOVING * violator.heat
                 ),
                 key=lambda s: -s.heat,
             ):
-                target = self._target(one, violator, middle, used) if len(used) < budget else None
+                target = (
+                    self._choose_target(one, violator, middle, used) if len(used) < budget else None
+                )
                 if target:
-                    used[target], self.plan[one] = None, one.owner
-                    self._move(one, target)
-        self._fill(used)
+                    used[target], self.running_moves[one] = None, one.owner
+                    self._move_slice(one, target)
+        self._fill_started_backends(used)
 
-    def _fill(self, used: dict) -> None:
+    def _fill_started_backends(self, used: dict) -> None:
         """Gives backends that started while we watched, and stand empty, a slice each from the most crowded.
 
         The loop empties violators alone and ranks the unheard as average: an enlarged fleet would stay idle.
         It only relieves, so plans and cool-offs do not hold it. Harm: keys go cold for a needless return.
         """
         mean = self._mean_heat()
-        budget = max(MOVE_BUDGET, FILL_BUDGET * sum(self._usable(b) for b in self.backends))
+        budget = max(MOVE_BUDGET, FILL_BUDGET * sum(self._is_usable(b) for b in self.backends))
         for target in self.backends:
             if (
                 budget < 1
                 or target in used
                 or target.ramp_start_ms is None
-                or not self._usable(target)
-                or target.owned_heat > FILL_PART * mean * target.size * self._share(target)
+                or not self._is_usable(target)
+                or target.owned_heat > FILL_PART * mean * target.size * self._warm_up_share(target)
             ):
                 continue
             fits = [
                 s
                 for s in self.slices
-                if s.move_blocked_until_ms <= self.now
+                if s.move_blocked_until_ms <= self.now_ms
                 and s.owner
                 and (
                     s.owner.consecutive_violations
                     or (s.owner.heat > FILL_FROM * mean * s.owner.size)
                 )
-                and self._fits(s, s.owner, target)
+                and self._fits_on(s, s.owner, target)
             ]
             if fits:
                 budget -= 1
-                self._move(max(fits, key=lambda s: (s.owner.latency_ratio or 0.0, s.heat)), target)
+                self._move_slice(
+                    max(fits, key=lambda s: (s.owner.latency_ratio or 0.0, s.heat)), target
+                )
 
-    def _fits(self, one: Slice, source: Backend, target: Backend) -> bool:
+    def _fits_on(self, one: Slice, source: Backend, target: Backend) -> bool:
         """A slice's heat counts twice, as its keys are cold there: no move may make a new worst."""
         due = target.heat + COLD_KEYS * one.heat
-        return due < source.heat * target.size / source.size and self._room(target, one)
+        return due < source.heat * target.size / source.size and self._has_room(target, one)
 
-    def _target(self, one: Slice, source: Backend, middle: float, used: dict) -> Backend | None:
+    def _choose_target(
+        self, one: Slice, source: Backend, middle: float, used: dict
+    ) -> Backend | None:
         """The lowest-ratio server at or below the median that the slice fits on; unheard is average."""
         ratios = {
             b: middle if b.latency_ratio is None else b.latency_ratio
             for b in self.backends
-            if self._usable(b)
+            if self._is_usable(b)
         }
         fits = [
             b
@@ -664,13 +706,13 @@
             and not b.consecutive_violations
             and b is not source
             and b not in used
-            and self._fits(one, source, b)
+            and self._fits_on(one, source, b)
         ]
         return min(fits, key=lambda b: (ratios[b], b.heat / b.size), default=None)
 
-    def _move(self, one: Slice, target: Backend) -> None:
+    def _move_slice(self, one: Slice, target: Backend) -> None:
         source, rate = one.owner, one.heat * 1000
-        self.said.append(
+        self.other_orders.append(
             LogDecision(
                 f"move slice {one.number} of heat {rate:.1f}/s from {source.name}"
                 f" ({source.latency_ratio or 0:.1f}) to {target.name} ({target.latency_ratio or 0:.1f})"
@@ -678,19 +720,19 @@
         )
         source.heat, target.heat = source.heat - one.heat, target.heat + one.heat
         target.owned_heat += one.heat
-        one.owner, one.move_blocked_until_ms, self.dirty = target, self.now + REST, True
+        one.owner, one.move_blocked_until_ms, self.needs_planning = target, self.now_ms + REST, True
 
-    def _cancel(self) -> None:
+    def _cancel_moves(self) -> None:
         """Drops the moves that have not been sent and lets the system cool off."""
-        for one, former in self.plan.items():
-            if one.pending_orders and one.shifts_rpcs and self._usable(former):
+        for one, former in self.running_moves.items():
+            if one.pending_orders and one.shifts_rpcs and self._is_usable(former):
                 one.owner, one.move_blocked_until_ms = former, 0.0
-        self.plan.clear()
-        self.cool_until, self.dirty = self.now + COOL_OFF, True
+        self.running_moves.clear()
+        self.cool_off_until_ms, self.needs_planning = self.now_ms + COOL_OFF, True
 
     # What is wanted.
 
-    def _weigh(self) -> None:
+    def _update_heat(self) -> None:
         """Adds up the heat of each backend by the lines ordered; a slice not heard of counts as average.
 
         Else a controller just given slices would take them for cold, and put them on one backend.
@@ -705,64 +747,68 @@
             for backend, part in active_shares(one.table).items():
                 backend.heat += one.heat * part
 
-    def _room(self, backend: Backend, one: Slice) -> bool:
+    def _has_room(self, backend: Backend, one: Slice) -> bool:
         """Whether a backend may take a slice: always, once it is warm."""
-        return self._share(backend) >= 1 or backend.owned_heat + one.heat <= self._limit(backend)
+        return self._warm_up_share(
+            backend
+        ) >= 1 or backend.owned_heat + one.heat <= self._heat_limit(backend)
 
     def _mean_heat(self) -> float:
-        opened = [b for b in self.backends if self._open(b)]
+        opened = [b for b in self.backends if self._is_open(b)]
         return sum(b.heat for b in opened) / max(sum(b.size for b in opened), 1e-9)
 
-    def _want(self) -> None:
+    def _plan_tables(self) -> None:
         """Decides every held table anew: the owner, displaced ones placed again, and the spares."""
-        self.dirty = False
-        if not self.terms.sliced:
+        self.needs_planning = False
+        if not self.settings.sliced:
             for one in self.slices:
                 one.desired_shares = {
-                    b: b.size * self._share(b) for b in self.backends if self._open(b)
+                    b: b.size * self._warm_up_share(b) for b in self.backends if self._is_open(b)
                 } or one.table
             return
-        self._weigh()
+        self._update_heat()
         ready = [b for b in self.backends if b.phase is Phase.READY]
-        usable = [b for b in ready if self._usable(b)] or ready
+        usable = [b for b in ready if self._is_usable(b)] or ready
         if not ready:
             return
         for backend in usable:  # whoever runs is better than nobody
-            backend.ejected_until_ms = min(backend.ejected_until_ms, self.now)
+            backend.ejected_until_ms = min(backend.ejected_until_ms, self.now_ms)
         for one in sorted(
             (s for s in self.slices if s.owner is None or s.owner.phase is not Phase.READY),
             key=lambda s: -s.heat,
         ):
-            one.owner = owner = self._refuge(one, usable)
+            one.owner = owner = self._choose_new_owner(one, usable)
             owner.heat, owner.owned_heat = owner.heat + one.heat, owner.owned_heat + one.heat
-        warm = [b for b in usable if self._share(b) >= 1]
+        warm = [b for b in usable if self._warm_up_share(b) >= 1]
         for one in self.slices:
-            one.desired_shares = self._lines(one, warm)
+            one.desired_shares = self._desired_shares(one, warm)
 
-    def _lines(self, one: Slice, warm: list[Backend]) -> dict[Backend, float]:
+    def _desired_shares(self, one: Slice, warm: list[Backend]) -> dict[Backend, float]:
         """What part of a slice's RPCs goes where: to its owner what it may have, the rest to the spare."""
-        spare = None if self.terms.has_single_owner else self._spare(one, warm)
+        spare = None if self.settings.has_single_owner else self._choose_standby(one, warm)
         if spare is None:
             return {one.owner: 1.0}
-        spare.standby_heat, part = spare.standby_heat + one.heat, self._part(one.owner)
+        spare.standby_heat, part = spare.standby_heat + one.heat, self._owner_share(one.owner)
         return {one.owner: part, spare: 1.0 - part} if part else {spare: 1.0}
 
-    def _refuge(self, one: Slice, usable: list[Backend]) -> Backend:
+    def _choose_new_owner(self, one: Slice, usable: list[Backend]) -> Backend:
         """Where a slice goes that lost its backend: the least crowded; cold ones only within their room."""
-        roomy = [b for b in usable if self._room(b, one)]
-        roomy = roomy or [b for b in usable if self._share(b) >= 1] or usable
+        roomy = [b for b in usable if self._has_room(b, one)]
+        roomy = roomy or [b for b in usable if self._warm_up_share(b) >= 1] or usable
         return min(
             [b for b in roomy if not b.consecutive_violations] or roomy,
             key=lambda b: (
                 (b.heat + one.heat)
-                / (b.size * self._share(b))
+                / (b.size * self._warm_up_share(b))
                 * (SPARE_LIKED if b in one.table else 1.0)
             ),
         )
 
-    def _spare(self, one: Slice, warm: list[Backend]) -> Backend | None:
+    def _choose_standby(self, one: Slice, warm: list[Backend]) -> Backend | None:
         """A standby line, for who loses the owner: one that the table has, else one in another zone."""
-        had = [b for b in one.table if b is not one.owner and self._warm(b) and not b.is_withdrawn]
+        had = [
+            b for b in one.table if b is not one.owner and self._is_warm(b) and not b.is_withdrawn
+        ]
         if had:
             return max(had, key=lambda b: (not b.consecutive_violations, one.table[b]))
         return min(
@@ -775,7 +821,7 @@
             ),
         )
 
-    def _owe(self, one: Slice) -> list[SetEntry]:
+    def _pending_entries(self, one: Slice) -> list[SetEntry]:
         """The fewest lines that bring a table to what is wanted, as each goes to every proxy.
 
         Others that are a trace beside the main one stay.
@@ -783,7 +829,7 @@
         want, have = one.desired_shares, one.table
         stale = (
             []
-            if self.terms.has_single_owner
+            if self.settings.has_single_owner
             else [SetEntry(one, b, 0.0) for b in have if b not in want]
         )
         dead = [
@@ -791,11 +837,11 @@
             for o in stale
             if o.backend.phase is not Phase.READY
             and share_if_active(have, o.backend) > NEAR
-            or self._open(o.backend)
+            or self._is_open(o.backend)
             and o.backend.is_withdrawn
-            and self._share(o.backend) < 1
+            and self._warm_up_share(o.backend) < 1
         ]
-        if not self.terms.sliced or self.terms.has_single_owner:
+        if not self.settings.sliced or self.settings.has_single_owner:
             return [SetEntry(one, b, w) for b, w in want.items() if have.get(b) != w] + stale
         main = max(want, key=want.get)
         top = have.get(main, 0.0)
@@ -819,52 +865,55 @@
 
     # From wanted to present.
 
-    def _list_owed(self) -> None:
+    def _update_pending_orders(self) -> None:
         """Decides anew and lists what is owed: what shifts RPCs before standby lines, the hottest first."""
-        self._want()
+        self._plan_tables()
         for one in self.slices:
-            one.pending_orders = (self._owe(one) if one.desired_shares else []) + self._owe_levels(
-                one
-            )
+            one.pending_orders = (
+                self._pending_entries(one) if one.desired_shares else []
+            ) + self._pending_levels(one)
             live = active_shares(one.table)
-            one.shifts_rpcs = self._levels(one) != one.admission_levels or any(
+            one.shifts_rpcs = self._admission_levels(one) != one.admission_levels or any(
                 abs(live.get(b, 0.0) - part) > NEAR for b, part in one.desired_shares.items()
             )
-        self.pending_orders = sorted(
+        self.pending_slices = sorted(
             (one for one in self.slices if one.pending_orders),
             key=lambda s: (not s.shifts_rpcs, -(s.heat or 0.0)),
         )
 
     def _may_push(self) -> bool:
         late, most = (
-            self.now - self.channel.pushed_at >= PUSH_AFTER,
-            self.terms.max_pushes_per_window or NEVER,
+            self.now_ms - self.channel.last_push_ms >= PUSH_AFTER,
+            self.settings.max_pushes_per_window or NEVER,
         )
-        return (late or self.channel.unconfirmed() <= MOST * len(self.proxies)) and (
-            len(self.channel.pushes) < (1.0 - KEPT_PART) * most
+        return (late or self.channel.unconfirmed_receivers() <= MOST * len(self.proxies)) and (
+            len(self.channel.push_times_ms) < (1.0 - KEPT_PART) * most
         )
 
-    def _emit(self) -> list[Order]:
+    def _emit_orders(self) -> list[Order]:
         """Orders the difference between wanted and present state, as the channel allows.
 
         Withdrawals and bare tables go at once, from a reserve; the rest waits for most confirmations.
         """
-        if self.dirty:
-            self._list_owed()
-        self.channel.forget(
-            self.now - SLOWEST * self.terms.max_pending_entries / self.terms.channel_entries_per_ms,
-            self.now - self.terms.push_window_ms,
-            self.now * self.way.awaits_answer,
+        if self.needs_planning:
+            self._update_pending_orders()
+        self.channel.drop_before(
+            self.now_ms
+            - SLOWEST * self.settings.max_pending_entries / self.settings.channel_entries_per_ms,
+            self.now_ms - self.settings.push_window_ms,
+            self.now_ms * self.channel_state.awaits_answer,
         )
         # While proxies come in, more may join before the call is carried out, and get it, too.
-        coming = self.terms.sliced and self.now - self.joined_at < PUSH_AFTER * JOINS_GATHER
-        each = max(len(self.proxies), self.terms.proxy_count if coming else 1)
-        head, orders = self.terms.message_overhead_entries + 1, []
-        whole = self.terms.max_pending_entries / each
+        coming = (
+            self.settings.sliced and self.now_ms - self.last_join_ms < PUSH_AFTER * JOINS_GATHER
+        )
+        each = max(len(self.proxies), self.settings.proxy_count if coming else 1)
+        head, orders = self.settings.message_overhead_entries + 1, []
+        whole = self.settings.max_pending_entries / each
         most = (
             whole * URGENT_PART - head
         )  # that is ever free; a small channel keeps back less of it
-        room = most - self.channel.waiting() / each
+        room = most - self.channel.waiting_entries() / each
         batch = head + BROAD_MOST * len(
             self.backends
         )  # for a further message that withdraws so many
@@ -874,21 +923,23 @@
         def worth(lines: int, back: float) -> float:  # the room at which a push is worth its head
             return min(lines, head, (most - back) / 2)
 
-        room *= len(self.channel.pushes) < (self.terms.max_pushes_per_window or NEVER)
+        room *= len(self.channel.push_times_ms) < (self.settings.max_pushes_per_window or NEVER)
         # A call that broke off has not run if none confirmed it within a message's way of all before it.
-        if self.channel.ahead(self.way.unknown_seal):
-            self.clear_at = self.now
-        since = self.now - self.channel.pushed_at
-        alone = min(since, self.now - self.clear_at)
+        if self.channel.missing_confirmations_before(self.channel_state.unknown_seal):
+            self.unknown_call_blocked_ms = self.now_ms
+        since = self.now_ms - self.channel.last_push_ms
+        alone = min(since, self.now_ms - self.unknown_call_blocked_ms)
         unrun = (
             since >= PUSH_AFTER
-            or self.way.is_broken
-            and alone > ANSWER_PART * self.terms.max_transit_ms
+            or self.channel_state.is_broken
+            and alone > ANSWER_PART * self.settings.max_transit_ms
         )
-        if self.way.unknown_seal and (unrun or room > self.channel.cost(self.way.unknown_seal)):
-            self.channel.repeated(self.way.unknown_seal, self.now, unrun)
-            self.said.append(RepeatCall(self.way.unknown_seal))
-        room *= self.way.is_free
+        if self.channel_state.unknown_seal and (
+            unrun or room > self.channel.entries_per_receiver(self.channel_state.unknown_seal)
+        ):
+            self.channel.record_repeat(self.channel_state.unknown_seal, self.now_ms, unrun)
+            self.other_orders.append(RepeatCall(self.channel_state.unknown_seal))
+        room *= self.channel_state.is_free
         leaving = min(
             sum(b.phase is not Phase.READY and not b.is_withdrawn for b in self.backends), most / 2
         )
@@ -897,108 +948,124 @@
         ) in self.backends:  # all who leave in one message: another would wait for its head, too
             if (
                 not backend.is_withdrawn
-                and self._must_out(backend)
+                and self._must_withdraw(backend)
                 and room
                 > (
                     max(1, leaving - len(orders))
-                    if backend.phase is not Phase.READY or self._open(backend)
+                    if backend.phase is not Phase.READY or self._is_open(backend)
                     else kept + 1
                 )
             ):
                 orders.append(SetWithdrawn(backend, True))
-                backend.is_withdrawn, self.dirty, room = True, True, room - 1
+                backend.is_withdrawn, self.needs_planning, room = True, True, room - 1
         # Who joined late has missed the withdrawals so far. They go together, as each push costs its head,
         # those first whom most RPCs would reach. A further message that withdraws a batch always has room.
         missed = [
-            b for b in self.untold if b.is_withdrawn and any(b in one.table for one in self.slices)
+            b
+            for b in self.unannounced_withdrawals
+            if b.is_withdrawn and any(b in one.table for one in self.slices)
         ]
         more = min(batch - head, most / 2)
-        if self.now >= self.untold_at and room - more > worth(len(missed), more):
+        if self.now_ms >= self.announce_withdrawals_at_ms and room - more > worth(
+            len(missed), more
+        ):
             missed.sort(
                 key=lambda b: (
                     -max(share_if_active(one.table, b) for one in self.slices if b in one.table)
                 )
             )
-            told, self.untold = (
+            told, self.unannounced_withdrawals = (
                 missed[: int(room - more)],
                 dict.fromkeys(missed[int(room - more) :]),
             )
             orders += [SetWithdrawn(b, True) for b in told]
             room, missed = room - len(told), missed[len(told) :]
-        if self.dirty:
-            self._list_owed()
+        if self.needs_planning:
+            self._update_pending_orders()
         # Nobody is left without a line: not by a withdrawal now, nor by one before the slice was given.
-        stripped = [one for one in self.pending_orders if has_no_active_entry(one.table)]
+        stripped = [one for one in self.pending_slices if has_no_active_entry(one.table)]
         if room - spared > worth(len(stripped), spared):  # their main lines only: the rest can wait
             for one in stripped:
                 one.pending_orders = sorted(
                     one.pending_orders, key=lambda order: -getattr(order, "weight", 0.0)
                 )[:1]
-            room, self.dirty = self._pay(stripped, room - spared, orders) + spared, True
+            room, self.needs_planning = (
+                self._send_pending(stripped, room - spared, orders) + spared,
+                True,
+            )
         # Pushes of a line or two, one after the other, would take the room that all of these wait for.
         if self._may_push() and not missed and not any(one.pending_orders for one in stripped):
             room, back, kept = room - kept, kept, 0.0
             if (
-                self.levels_due and room > 1
+                self.admission_reset_due and room > 1
             ):  # only after a try that never ran: no effect comes twice
-                self.levels_due, room = False, room - 1
+                self.admission_reset_due, room = False, room - 1
                 orders.append(
                     SetAdmissionLevel(
-                        self.ranks[0] + self.ranks[1], None, LET_ALL, RetryMode.NEVER_RAN
+                        self.methods_by_criticality[0] + self.methods_by_criticality[1],
+                        None,
+                        LET_ALL,
+                        RetryMode.NEVER_RAN,
                     )
                 )
             if orders or room > worth(
-                sum(len(one.pending_orders) for one in self.pending_orders), back
+                sum(len(one.pending_orders) for one in self.pending_slices), back
             ):
-                room = self._pay(self.pending_orders, room, orders)
+                room = self._send_pending(self.pending_slices, room, orders)
         for backend in self.backends:
             if (
                 backend.is_withdrawn
                 and room > kept + 1
-                and self._open(backend)
+                and self._is_open(backend)
                 and (
-                    not self._over(backend)
-                    or self._share(backend) >= 1
+                    not self._exceeds_desired(backend)
+                    or self._warm_up_share(backend) >= 1
                     and any(
                         backend in one.table and has_no_active_entry(one.table)
                         for one in self.slices
                     )
                 )
             ):
-                backend.is_withdrawn, self.dirty, room = False, True, room - 1
-                self._forget(backend)
+                backend.is_withdrawn, self.needs_planning, room = False, True, room - 1
+                self._clear_statistics(backend)
                 for one in (s for s in self.slices if backend in s.table):
-                    one.rpcs_shifted_at_ms = self.now
+                    one.rpcs_shifted_at_ms = self.now_ms
                 orders.append(SetWithdrawn(backend, False))
-        for proxy in self.proxies if self.way.is_free and not self.terms.sliced else ():
+        for proxy in (
+            self.proxies if self.channel_state.is_free and not self.settings.sliced else ()
+        ):
             orders += [
                 BindProxy(one, proxy) for one in self.slices if one.table and not proxy.is_bound
             ]
             proxy.is_bound = all(one.table for one in self.slices)
         if orders:
-            self.seal = self.seal % 65_000 + 1
-            lines = len(orders) + head + (0 if self.terms.sliced else len(self.backends))
-            self.channel.sent(self.seal, lines, self.proxies, self.now)
-            orders.append(Seal(self.seal))
+            self.last_seal = self.last_seal % 65_000 + 1
+            lines = len(orders) + head + (0 if self.settings.sliced else len(self.backends))
+            self.channel.record_sent(self.last_seal, lines, self.proxies, self.now_ms)
+            orders.append(Seal(self.last_seal))
         # A plan has run once its tables were sent and most proxies confirmed them.
         if (
-            self.plan
-            and not any(one.pending_orders and one.shifts_rpcs for one in self.plan)
+            self.running_moves
+            and not any(one.pending_orders and one.shifts_rpcs for one in self.running_moves)
             and self._may_push()
         ):
-            self.plan.clear()
-        if self.now >= self.follow_at:
-            self.follow_at, orders = NEVER, [*orders, FollowFleetList(True)]
-        if self.now >= self.wake_at:
-            self.wake_at = self.now + (beat := min(self.terms.report_interval_ms, ROUND_EVERY) / 2)
+            self.running_moves.clear()
+        if self.now_ms >= self.follow_list_at_ms:
+            self.follow_list_at_ms, orders = NEVER, [*orders, FollowFleetList(True)]
+        if self.now_ms >= self.next_wake_ms:
+            self.next_wake_ms = self.now_ms + (
+                beat := min(self.settings.report_interval_ms, ROUND_EVERY) / 2
+            )
             orders.append(SetTimer(beat, 0))
         return orders
 
-    def _must_out(self, backend: Backend) -> bool:
+    def _must_withdraw(self, backend: Backend) -> bool:
         """Not open, or freshly started while tables still name it as if it were warm."""
         if backend.phase is not Phase.READY:
             return True
-        if self._open(backend) and (self._share(backend) > STEPS[0][1] or not self._over(backend)):
+        if self._is_open(backend) and (
+            self._warm_up_share(backend) > STEPS[0][1] or not self._exceeds_desired(backend)
+        ):
             return False
         return all(
             any(not b.is_withdrawn and b is not backend for b in one.desired_shares)
@@ -1006,55 +1073,57 @@
             if backend in one.desired_shares
         )
 
-    def _over(self, backend: Backend) -> bool:
+    def _exceeds_desired(self, backend: Backend) -> bool:
         """Whether a table gives a backend more than is wanted; a trace brings the cold what others refuse."""
         return any(
             share_if_active(one.table, backend) - NEAR
             > one.desired_shares.get(backend, 0.0) / (sum(one.desired_shares.values()) or 1.0)
-            or self._share(backend) < 1
+            or self._warm_up_share(backend) < 1
             and backend not in one.desired_shares
             for one in self.slices
             if backend in one.table
         )
 
-    def _pay(self, owed: list[Slice], room: float, orders: list[Order]) -> float:
+    def _send_pending(self, owed: list[Slice], room: float, orders: list[Order]) -> float:
         """Writes the lines that tables are owed, as far as there is room."""
         for one in owed:
             if not one.pending_orders or room <= len(one.pending_orders):
                 continue
             room, orders[len(orders) :] = room - len(one.pending_orders), one.pending_orders
-            one.rpcs_shifted_at_ms = self.now if one.shifts_rpcs else one.rpcs_shifted_at_ms
+            one.rpcs_shifted_at_ms = self.now_ms if one.shifts_rpcs else one.rpcs_shifted_at_ms
             for order in one.pending_orders:
                 if type(order) is SetAdmissionLevel:
-                    one.admission_levels = self._levels(one)
+                    one.admission_levels = self._admission_levels(one)
                 else:
                     one.table = {
-                        **({} if self.terms.has_single_owner else one.table),
+                        **({} if self.settings.has_single_owner else one.table),
                         order.backend: order.weight,
                     }
             one.table, one.pending_orders = {b: w for b, w in one.table.items() if w}, []
-        self.pending_orders = [one for one in self.pending_orders if one.pending_orders]
+        self.pending_slices = [one for one in self.pending_slices if one.pending_orders]
         return room
 
-    def _levels(self, one: Slice) -> tuple[float, float]:
+    def _admission_levels(self, one: Slice) -> tuple[float, float]:
         """What is let in of the least criticality, which gives way first, and of the others.
 
         It follows its owner's zone; a slice whose own backend is calm lets all in.
         """
         if (
-            self.terms.admission_mode != "ratio"
+            self.settings.admission_mode != "ratio"
             or one.owner is None
-            or not self._crowded(one.owner)
+            or not self._is_crowded(one.owner)
         ):
             return 1.0, 1.0
-        low = len(self.ranks[0]) / len(self.terms.methods)
-        cut = 1.0 - self.let.get(one.owner.zone, (1.0, 0.0))[0]
+        low = len(self.methods_by_criticality[0]) / len(self.settings.methods)
+        cut = 1.0 - self.zone_admission.get(one.owner.zone, (1.0, 0.0))[0]
         levels = max(1.0 - cut / low, 0.0), 1.0 - max(cut - low, 0.0) / max(1.0 - low, 0.1)
         return tuple(round(level * LEVELS) / LEVELS for level in levels)
 
-    def _owe_levels(self, one: Slice) -> list[SetAdmissionLevel]:
+    def _pending_levels(self, one: Slice) -> list[SetAdmissionLevel]:
         return [
             SetAdmissionLevel(methods, one, part, RetryMode.NEVER_RAN)
-            for methods, part, former in zip(self.ranks, self._levels(one), one.admission_levels)
+            for methods, part, former in zip(
+                self.methods_by_criticality, self._admission_levels(one), one.admission_levels
+            )
             if methods and part != former
         ]
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -74,11 +74,11 @@
 class Controller:
     """Owns everything that belongs to one controller; settings say what of it exists."""
 
-    def __init__(self, place: Place, books: Books, choice: Decider) -> None:
-        self.place, self.books, self.choice, self.world, self.calls = (
+    def __init__(self, place: Place, books: Books, policy: Decider) -> None:
+        self.place, self.books, self.policy, self.world, self.calls = (
             place,
             books,
-            choice,
+            policy,
             World(),
             Calls(),
         )
@@ -250,7 +250,7 @@
             ChannelState(not self.calls, self.relay.unknown, self.relay.broken),
         )
         try:
-            orders = self.choice.decide(began, [way, *events])
+            orders = self.policy.decide(began, [way, *events])
         except (
             Exception
         ) as error:  # what is decided next may be better; who asks hears that it is not well
--- a/lifthinge/service/run.py
+++ b/lifthinge/service/run.py
@@ -92,15 +92,15 @@
 
 def decider(place: Place, books: Books, operators: Optional["Operators"]) -> Decider:
     """The decisions, behind a capture where the operators' file asks for one."""
-    choice = Policy(place.terms, place.seed)
+    policy = Policy(place.terms, place.seed)
     if operators is None or operators.capture is None:
-        return choice
+        return policy
     from lifthinge.capture.capture import open_capture
 
     part, head = operators.capture, {"name": place.name, "seed": place.seed, "life": books.now}
     try:
         return open_capture(
-            choice, part.folder, part.budget_mb, part.segment_mb, head, books.counters
+            policy, part.folder, part.budget_mb, part.segment_mb, head, books.counters
         )
     except OSError as error:
         raise BadStart("capture.folder", f"{part.folder}: {error.strerror or error}") from None
@@ -110,8 +110,8 @@
     """Serves until SIGTERM; `hung_up` has the SIGHUPs that came before."""
     loop, over = asyncio.get_running_loop(), asyncio.Event()
     books = make_books(place.seed, place.sockets)
-    choice = decider(place, books, operators)
-    controller = Controller(place, books, choice)
+    policy = decider(place, books, operators)
+    controller = Controller(place, books, policy)
     turn_on(controller, operators)
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, over.set)
@@ -126,8 +126,8 @@
         await over.wait()
     finally:
         controller.stop()
-        if not isinstance(choice, Policy):
-            choice.close()
+        if not isinstance(policy, Policy):
+            policy.close()
     log.info("stopped", counters(books))
 
 
--- a/lifthinge/settings.py
+++ b/lifthinge/settings.py
@@ -5,11 +5,11 @@
 
 from lifthinge.interface import Method, SiteSettings
 
-MS = 1000.0
-NOISE_MOST = 2.0  # times the true mean: reports are a little noisy
-PERIODS_MOST = 100  # report periods that one sum covers
-TURNS_MOST = 10  # RPCs that one place at a backend serves within the shortest soft deadline
-BACKENDS_LARGER = 2  # times the connections of the smallest backend
+MS_PER_S = 1000.0
+MAX_MEAN_OVERSHOOT = 2.0  # times the true mean: reports are a little noisy
+MAX_REPORT_PERIODS = 100  # report periods that one sum covers
+MAX_RPCS_PER_SLOT = 10  # RPCs that one place at a backend serves within the shortest soft deadline
+MAX_BACKEND_SIZE_RATIO = 2  # times the connections of the smallest backend
 
 
 class SettingsError(Exception):
@@ -46,12 +46,12 @@
         ...
     lifthinge.settings.SettingsError: settings have a value of the wrong kind: 'NoneType' object is not subscriptable
     """
-    return _checked(_terms, conf)
+    return _checked(_settings, conf)
 
 
 def read_layout(conf: Any) -> SiteLayout:
     """The names and ways of the site out of the settings."""
-    return _checked(_map, conf)
+    return _checked(_layout, conf)
 
 
 def _checked(read: Any, conf: Any) -> Any:
@@ -63,11 +63,11 @@
         raise SettingsError(f"settings have a value of the wrong kind: {error}") from None
 
 
-def _terms(conf: dict[str, Any]) -> SiteSettings:
+def _settings(conf: dict[str, Any]) -> SiteSettings:
     special, rules = conf["Specifics"], conf["Rules"]
     return SiteSettings(
         methods=tuple(
-            Method(one["Target"] * MS, one["Deadline"] * MS, one["Worth"])
+            Method(one["Target"] * MS_PER_S, one["Deadline"] * MS_PER_S, one["Worth"])
             for one in conf["Services"]
         ),
         sliced=special["Ranges"] > 0,
@@ -75,19 +75,19 @@
         news_on_request=conf["MembershipMode"] == "ask",
         uses_listed_sizes=conf["Weights"] != "silent",
         admission_mode=special["Admit"],
-        report_interval_ms=special["ReportEvery"] * MS,
-        channel_entries_per_ms=special["ChannelRate"] / MS,
+        report_interval_ms=special["ReportEvery"] * MS_PER_S,
+        channel_entries_per_ms=special["ChannelRate"] / MS_PER_S,
         message_overhead_entries=special["FixedCost"],
         max_pending_entries=special["PendingMax"],
         max_pushes_per_window=special["PushesAllowed"],
-        push_window_ms=special["UpdateWindow"] * MS,
-        warm_up_ms=rules["WarmUp"] * MS,
-        max_transit_ms=special["TransitMax"] * MS,
+        push_window_ms=special["UpdateWindow"] * MS_PER_S,
+        warm_up_ms=rules["WarmUp"] * MS_PER_S,
+        max_transit_ms=special["TransitMax"] * MS_PER_S,
         proxy_count=max(int(special["DataPlaneSize"]), 1),
     )
 
 
-def _map(conf: dict[str, Any]) -> SiteLayout:
+def _layout(conf: dict[str, Any]) -> SiteLayout:
     """A sane report stays within what the settings let happen.
 
     No try outlives the longest deadline; sums wait while others get in, a hundred periods at most; and one
@@ -95,16 +95,20 @@
     """
     special, services = conf["Specifics"], conf["Services"]
     multiplex = max(conf["Limits"].get("Multiplex", 1), 1)
-    at_once = special.get("ConnsLeast", float("inf")) * BACKENDS_LARGER * multiplex
+    at_once = special.get("ConnsLeast", float("inf")) * MAX_BACKEND_SIZE_RATIO * multiplex
     return SiteLayout(
         zones=tuple(conf["Zones"]),
         methods=tuple(one["Name"] for one in conf["Services"]),
         load_fields=tuple(conf.get("Report", {}).get("Fields", ())),
         slice_count=int(special["Ranges"]),
         proxy_count=int(special["DataPlaneSize"]),
-        max_mean_latency_ms=max(one["Deadline"] for one in services) * MS * NOISE_MOST,
-        max_report_span_ms=special["ReportEvery"] * MS * PERIODS_MOST,
-        max_attempts_per_ms=at_once * TURNS_MOST / (min(one["Target"] for one in services) * MS),
+        max_mean_latency_ms=max(one["Deadline"] for one in services)
+        * MS_PER_S
+        * MAX_MEAN_OVERSHOOT,
+        max_report_span_ms=special["ReportEvery"] * MS_PER_S * MAX_REPORT_PERIODS,
+        max_attempts_per_ms=at_once
+        * MAX_RPCS_PER_SLOT
+        / (min(one["Target"] for one in services) * MS_PER_S),
         controller_number=int(conf["SlotNo"]),
         sends_probes=bool(conf["Limits"].get("Probes", False)),
         has_peers=bool(conf["Limits"].get("MayTell", False)),
--- a/lifthinge/sliding_minimum.py
+++ b/lifthinge/sliding_minimum.py
@@ -7,32 +7,32 @@
     """Keeps what may yet be the lowest, oldest first.
 
     >>> low = SlidingWindowMinimum()
-    >>> low.add(0.0, 5.0); low.add(1.0, 9.0); low.value()
+    >>> low.add(0.0, 5.0); low.add(1.0, 9.0); low.minimum()
     5.0
-    >>> low.forget(0.5); low.value()
+    >>> low.drop_before(0.5); low.minimum()
     9.0
     """
 
-    __slots__ = ("kept",)
+    __slots__ = ("candidates",)
 
     def __init__(self) -> None:
-        self.kept: deque[tuple[float, float]] = deque()
+        self.candidates: deque[tuple[float, float]] = deque()
 
     def add(self, now: float, value: float) -> None:
         """Takes in a value."""
-        while self.kept and self.kept[-1][1] >= value:
-            self.kept.pop()
-        self.kept.append((now, value))
+        while self.candidates and self.candidates[-1][1] >= value:
+            self.candidates.pop()
+        self.candidates.append((now, value))
 
-    def forget(self, before: float) -> None:
+    def drop_before(self, before: float) -> None:
         """Drops what came before a time."""
-        while self.kept and self.kept[0][0] < before:
-            self.kept.popleft()
+        while self.candidates and self.candidates[0][0] < before:
+            self.candidates.popleft()
 
-    def value(self) -> float:
+    def minimum(self) -> float:
         """The lowest; only after one was added and not forgotten."""
-        return self.kept[0][1]
+        return self.candidates[0][1]
 
     def clear(self) -> None:
         """Forgets everything."""
-        self.kept.clear()
+        self.candidates.clear()
--- a/lifthinge/wirehost/__main__.py
+++ b/lifthinge/wirehost/__main__.py
@@ -6,7 +6,7 @@
 
 from lifthinge.interface import Event, ForgetBackend
 from lifthinge.policy import Policy
-from lifthinge.settings import MS
+from lifthinge.settings import MS_PER_S
 from lifthinge.wirehost.codec import BadFrame, pack_record, pack_reply, read_batch, read_frame
 from lifthinge.wirehost.translate import Door, read_conf
 
@@ -38,7 +38,7 @@
             [
                 record
                 for instance, events in waiting.items()
-                for record in self._decide(instance, clock * MS, events)
+                for record in self._decide(instance, clock * MS_PER_S, events)
             ]
         )
 
@@ -50,11 +50,11 @@
         return door.news(form, self.lists.get(buffer, []))
 
     def _decide(self, instance: int, now: float, events: list[Event]) -> list[bytes]:
-        door, choice = self.instances[instance]
+        door, policy = self.instances[instance]
         try:
             return [
                 door.pack(order)
-                for order in choice.decide(now, events)
+                for order in policy.decide(now, events)
                 if not isinstance(order, ForgetBackend)
             ]
         except Exception as error:  # whatever it is, the wire wants it reported
--- a/lifthinge/wirehost/translate.py
+++ b/lifthinge/wirehost/translate.py
@@ -41,7 +41,7 @@
     StoredEntry,
     TimerDue,
 )
-from lifthinge.settings import MS, SettingsError, read_settings
+from lifthinge.settings import MS_PER_S, SettingsError, read_settings
 from lifthinge.wirehost.codec import BadFrame, pack_record
 
 FORMS = {
@@ -110,13 +110,13 @@
             "Disconnected": lambda proxy: ProxyLeft(self.proxy(proxy)),
             "Digest": self._tries,
             "Confirmed": lambda proxy, seal, took: SealConfirmed(
-                self.proxy(proxy), seal, took * MS
+                self.proxy(proxy), seal, took * MS_PER_S
             ),
             "Ingress": lambda proxy, total, method, failed, span: ProxyLoadReport(
-                self.proxy(proxy), method, total, failed, span * MS
+                self.proxy(proxy), method, total, failed, span * MS_PER_S
             ),
             "SliceLoad": lambda total, number, method, failed, span: SliceHeatReport(
-                self.slice(number), method, total, failed, span * MS
+                self.slice(number), method, total, failed, span * MS_PER_S
             ),
             "Leased": lambda number, given: SliceLeaseChanged(self.slice(number), bool(given)),
             "LedgerLine": lambda number, ep, weight: StoredEntry(
@@ -138,7 +138,7 @@
                 int(o.retry),
             ),
             Seal: lambda o: self._pack("Seal", o.number, o.all_proxies),
-            SetTimer: lambda o: self._pack("SetTimer", o.delay_ms / MS, o.handle),
+            SetTimer: lambda o: self._pack("SetTimer", o.delay_ms / MS_PER_S, o.handle),
             Probe: lambda o: self._pack("HealthCheck", o.backend.backend_id),
             SendToPeers: lambda o: self._pack(
                 "Post", EVERY_PEER if o.peer is None else o.peer, o.content
@@ -177,7 +177,7 @@
                     zone,
                     cell,
                     PHASES[phase],
-                    _finite(started) * MS,
+                    _finite(started) * MS_PER_S,
                     _finite(size),
                 )
             )
@@ -192,7 +192,10 @@
 
     def _probe(self, took: float, status: int, ep: bytes, load: tuple[float, ...]) -> ProbeResult:
         return ProbeResult(
-            self.backend(ep), OUTCOMES.get(status, ProbeOutcome.ABORTED), _finite(took) * MS, load
+            self.backend(ep),
+            OUTCOMES.get(status, ProbeOutcome.ABORTED),
+            _finite(took) * MS_PER_S,
+            load,
         )
 
     def _joined(self, number: int, first_time: int, size: float, zone: int) -> ProxyJoined:
@@ -212,5 +215,5 @@
     ) -> AttemptReport:
         backend = self.backend(ep)
         return AttemptReport(
-            zone, backend, total, failed, _finite(took) * MS, _finite(span) * MS, load
+            zone, backend, total, failed, _finite(took) * MS_PER_S, _finite(span) * MS_PER_S, load
         )
--- a/tests/check_capture.py
+++ b/tests/check_capture.py
@@ -35,20 +35,20 @@
         super().__init__()
 
     def tell(self, *events: object) -> None:
-        if self.choice is None:
-            self.choice = _Behind(Policy(self.terms, 7), self)
+        if self.policy is None:
+            self.policy = _Behind(Policy(self.terms, 7), self)
         super().tell(*events)
 
 
 class _Behind(Recorder):
-    def __init__(self, choice: Policy, owner: Recorded) -> None:
-        super().__init__(choice)
+    def __init__(self, policy: Policy, owner: Recorded) -> None:
+        super().__init__(policy)
         self.turns = 0
         self.records = []
         owner.records.append(self.records)
 
     def __getattr__(self, name: str) -> object:  # what scenarios look at
-        return getattr(self.__dict__["choice"], name)
+        return getattr(self.__dict__["policy"], name)
 
     def decide(self, now: float, events) -> list:
         self.turns += 1
@@ -96,25 +96,25 @@
 
     class Captured(stage.Stage):
         def tell(self, *events: object) -> None:
-            if self.choice is None:
-                self.choice = Capture(Policy(self.terms, 7), writer, counters)
-                self.choice._due.put(
+            if self.policy is None:
+                self.policy = Capture(Policy(self.terms, 7), writer, counters)
+                self.policy._due.put(
                     None
                 )  # in step here: which turn begins a segment must not hang on threads
-                self.choice._thread.join()
-                self.choice._due = InStep()
+                self.policy._thread.join()
+                self.policy._due = InStep()
             super().tell(*events)
 
     class InStep:
         def put(self, records: list | None) -> None:
             writer.write(records or [])
-            played.choice._written.append(len(records or []))
+            played.policy._written.append(len(records or []))
 
     played = Captured()
     played.run("\n".join((HERE / "scenarios" / name).read_text() for name in ("fill.txt",)))
     for moment in range(int(played.now) + 400, int(played.now) + 40_000, 400):
         played.play_to(float(moment))
-    played.choice.close()
+    played.policy.close()
     found = segments(folder)
     assert len(found) > 3 and found[0].path.name != "cap-00000001", [one.path.name for one in found]
     replay = Replay()
--- a/tests/play/stage.py
+++ b/tests/play/stage.py
@@ -87,7 +87,7 @@
     """One instance, the canned events still to come, and what its orders add up to."""
 
     def __init__(self) -> None:
-        self.terms, self.now, self.choice = TERMS, 0.0, None
+        self.terms, self.now, self.policy = TERMS, 0.0, None
         self.names: dict = {}
         self.reports: dict = {}
         self.due: list = []
@@ -95,7 +95,7 @@
         self.reborn()
 
     def reborn(self) -> None:
-        self.choice, self.joined, self.tables, self.out, self.levels = None, {}, {}, set(), {}
+        self.policy, self.joined, self.tables, self.out, self.levels = None, {}, {}, set(), {}
         self.said, self.sent, self.followed, self.bound, self.waiting = [], 0, 0, set(), {}
         self.forgotten: set[Backend] = set()
         self.next_report, self.due = self.now + self.terms.report_interval_ms, []
@@ -110,10 +110,10 @@
 
     def tell(self, *events: object) -> None:
         """Hands over one batch and takes in its orders."""
-        if self.choice is None:
-            self.choice = Policy(self.terms, 7)
+        if self.policy is None:
+            self.policy = Policy(self.terms, 7)
         lines, marks = 0, []
-        for order in self.choice.decide(self.now, [self.state, *events] if self.state else events):
+        for order in self.policy.decide(self.now, [self.state, *events] if self.state else events):
             lines += isinstance(
                 order, (SetEntry, SetWithdrawn, SetAdmissionLevel, ClearTable, Seal)
             )
@@ -363,7 +363,7 @@
 
     def do_forgot(self, name: str) -> None:
         assert self.name(Backend, name) in self.forgotten, "it is kept"
-        assert self.name(Backend, name) not in self.choice.backends, "the decisions keep it"
+        assert self.name(Backend, name) not in self.policy.backends, "the decisions keep it"
 
     def do_in(self, name: str) -> None:
         assert self.name(Backend, name) not in self.out, "it is out"
