--- a/lifthinge/interface.py
+++ b/lifthinge/interface.py
@@ -1,9 +1,12 @@
-"""Types at the door of the decision module: what it is told, what it may order, and its site's terms.
+"""Types of the decision module's interface: its events, its orders and the settings of its site.
 
-An adapter makes one `lifthinge.policy.Policy` for each instance, hands it the events of a batch with
-the batch's time, and carries out the orders that come back, in their order. Times are float
-milliseconds. Backends, slices and proxies are objects that the adapter makes once for each instance;
-their ids mean nothing to the decisions.
+An adapter makes one `lifthinge.policy.Policy` for each instance, passes it the events of a batch
+with the batch's time, and carries out the orders that it returns, in their order. Times are floats
+in milliseconds. Backends, slices and proxies are objects that the adapter makes once for each
+instance; the decisions compare them by identity and attach no meaning to their ids.
+
+A table is a dictionary from backend to weight; a table entry is one backend with its weight. The
+names under which these types and fields leave the process are in `lifthinge.outer_names`.
 """
 
 from dataclasses import dataclass, field
@@ -15,7 +18,7 @@
 
 
 class Phase(Enum):
-    """What discovery says of a backend's process."""
+    """Life-cycle phase of a backend's process, as discovery reports it."""
 
     GONE = "gone"
     READY = "ready"
@@ -23,16 +26,16 @@
 
 
 class FleetNewsKind(Enum):
-    """What a piece of fleet news holds."""
+    """What a `FleetNews` event holds."""
 
-    DELTA = "delta"
-    FULL = "full"
-    CACHED = "cached"
-    MISSED = "missed"
+    DELTA = "delta"  # changed entries only
+    FULL = "full"  # the whole list
+    CACHED = "cached"  # the whole list as last stored
+    MISSED = "missed"  # no list: it could not be fetched
 
 
 class ProbeOutcome(Enum):
-    """What a probe found."""
+    """The result of a probe."""
 
     OK = "ok"
     ABORTED = "aborted"  # answered with an error
@@ -43,7 +46,7 @@
 
 
 class RetryMode(IntEnum):
-    """Further tries that a proxy makes at other lines of a table."""
+    """Further attempts that a proxy makes at other entries of a table."""
 
     NEVER = 0
     NEVER_RAN = 1
@@ -53,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Method:
-    """What one method's RPCs are worth, and until when."""
+    """The deadlines and the criticality of one method's RPCs."""
 
     soft_deadline_ms: float
     deadline_ms: float
@@ -62,7 +65,7 @@
 
 @dataclass(frozen=True)
 class SiteSettings:
-    """What a site fixes for the day."""
+    """Settings of a site; they do not change while an instance runs."""
 
     methods: tuple[Method, ...]
     sliced: bool
@@ -71,87 +74,79 @@
     uses_listed_sizes: bool
     admission_mode: str  # "ratio", "rps" or "silent"
     report_interval_ms: float
-    channel_entries_per_ms: float  # lines a millisecond
-    message_overhead_entries: float
-    max_pending_entries: float
-    max_pushes_per_window: int
+    channel_entries_per_ms: float  # table entries that the channel sends per ms
+    message_overhead_entries: float  # fixed cost of a message, in table entries
+    max_pending_entries: float  # table entries that may wait in the channel
+    max_pushes_per_window: int  # 0: no limit
     push_window_ms: float
     warm_up_ms: float
-    max_transit_ms: float = (
-        2_000.0  # the longest way of a message from the channel to a proxy, and into force
-    )
-    proxy_count: int = 1  # of the site; where it is sliced, each joins every instance
+    # The longest time of a message from the channel to a proxy, until it is in force there.
+    max_transit_ms: float = 2_000.0
+    proxy_count: int = 1  # proxies of the site; where it is sliced, each joins every instance
 
 
 @dataclass(eq=False, slots=True)
 class Backend:
-    """A backend as listed, and the working memory that the decisions keep of it."""
+    """A backend as listed, and the state that the decisions keep of it."""
 
     backend_id: Any
     name: str
     zone: int = 0
-    phase: Phase = Phase.GONE
-    listed_phase: Phase = (
-        Phase.GONE
-    )  # as discovery says; `phase` is draining if it is out by hand, too
+    phase: Phase = Phase.GONE  # the listed phase, or draining if operators took it out of service
+    listed_phase: Phase = Phase.GONE  # as discovery reports it
     listed_size: float = 1.0
     started_at_ms: float = 0.0
-    size: float = 1.0
-    # working memory
-    is_withdrawn: bool = False  # present state: withdrawn from the joined proxies
+    size: float = 1.0  # the listed size times the operators' share for its zone
+    # Present state: withdrawn from the joined proxies.
+    is_withdrawn: bool = False
+    # Working memory of the decisions.
     latency_minimum: SlidingWindowMinimum = field(default_factory=SlidingWindowMinimum)
-    latency_ratio: float | None = None
-    last_ok_at_ms: float | None = None
-    consecutive_violations: int = 0
+    latency_ratio: float | None = None  # mean latency over the lowest latency; None if unknown
+    last_ok_at_ms: float | None = None  # when a report last held a successful attempt
+    consecutive_violations: int = 0  # reports in a row above the violator mark
+    # Sums over the current report interval.
     ok_attempts: float = 0.0
     aborted_attempts: float = 0.0
-    expected_rpcs: float = 0.0
+    expected_rpcs: float = 0.0  # RPCs that the tables should have sent to it
     ok_latency_sum_ms: float = 0.0
-    lowest_latency_ms: float = 1.0  # the lowest latency of the last minute
-    mean_latency_ms: float = 0.0  # mean latency of the tries of late
-    decayed_ok_totals: tuple[float, float] = (
-        0.0,
-        0.0,
-    )  # those that went well, and the sum of their latencies, halved
-    outcomes: Histogram = field(
-        default_factory=lambda: Histogram((0.5,))
-    )  # 0 went well, 1 went wrong
+    lowest_latency_ms: float = 1.0  # of the last minute
+    mean_latency_ms: float = 0.0  # of recent successful attempts
+    # Successful attempts and the sum of their latencies in ms; halved at each report that has any.
+    decayed_ok_totals: tuple[float, float] = (0.0, 0.0)
+    # Outcomes of recent attempts: 0 for success, 1 for failure.
+    outcomes: Histogram = field(default_factory=lambda: Histogram((0.5,)))
     ejected_until_ms: float = 0.0
     ejection_count: int = 0
-    smoothed_latency_ms: float = 0.0  # mean latency of late, smoothed
-    is_on_probation: bool = False  # was shut, and has not answered well since
-    rpcs_since_ok: float = 0.0  # asked since a try last went well
-    ramp_start_ms: float | None = None
+    smoothed_latency_ms: float = 0.0  # exponential mean of `mean_latency_ms`
+    is_on_probation: bool = False  # was ejected, and has not answered well since
+    rpcs_since_ok: float = 0.0  # expected RPCs since an attempt last succeeded
+    ramp_start_ms: float | None = None  # start of its warm-up; None: it was never seen to start
     ramp_duration_ms: float = 1.0
-    heat: float = 0.0
-    owned_heat: float = 0.0  # of the slices that it owns, wherever they are served
-    standby_heat: float = 0.0
+    heat: float = 0.0  # RPCs per ms by the present tables
+    owned_heat: float = 0.0  # RPCs per ms of the slices that it owns, wherever they are served
+    standby_heat: float = 0.0  # RPCs per ms of the slices for which it stands by
 
 
 @dataclass(eq=False, slots=True)
 class Slice:
-    """A slice of the key space (or, where there are none, a table), and its working memory."""
+    """A slice of the key space, or the one table of an unsliced site, and the state kept of it."""
 
     number: int
-    is_leased: bool = False
+    is_leased: bool = False  # whether it is in this instance's charge
     table: dict = field(default_factory=dict)  # present state: backend -> weight
     owner: Backend | None = None
-    desired_shares: dict = field(default_factory=dict)  # backend -> part of the slice's RPCs
-    pending_orders: list = field(
-        default_factory=list
-    )  # lines that bring the present state to the wanted one
-    shifts_rpcs: bool = False  # whether those shift RPCs, or only stand by
+    desired_shares: dict = field(default_factory=dict)  # backend -> share of the slice's RPCs
+    # Orders that bring the present state to the desired one.
+    pending_orders: list = field(default_factory=list)
+    shifts_rpcs: bool = False  # whether the pending orders shift RPCs, or only standby entries
     move_blocked_until_ms: float = 0.0
-    rpcs_shifted_at_ms: float | None = None
-    heat: float | None = None  # RPCs a millisecond
-    method_rates: dict = field(
-        default_factory=dict
-    )  # method -> RPCs a millisecond, and when last heard
-    admitted_rpcs: float = 0.0
-    admission_levels: tuple = (
-        1.0,
-        1.0,
-    )  # present state: let in of the least criticality, and of others
+    rpcs_shifted_at_ms: float | None = None  # when its RPCs were last shifted
+    heat: float | None = None  # RPCs per ms
+    # Method -> RPCs per ms, and when they were last reported.
+    method_rates: dict = field(default_factory=dict)
+    admitted_rpcs: float = 0.0  # RPCs admitted in the current report interval
+    # Present state: the fraction admitted of the least critical methods, and of the others.
+    admission_levels: tuple = (1.0, 1.0)
 
 
 @dataclass(eq=False, slots=True)
@@ -161,7 +156,7 @@
     number: int
     zone: int = 0
     size: float = 0.0
-    is_bound: bool = False
+    is_bound: bool = False  # whether it uses every table of an unsliced site
 
 
 # Events
@@ -169,7 +164,7 @@
 
 @dataclass(slots=True)
 class Listing:
-    """One entry of fleet news."""
+    """One entry of the fleet list."""
 
     backend: Backend
     zone: int
@@ -181,53 +176,69 @@
 
 @dataclass(slots=True)
 class FleetNews:
+    """The fleet list, or changed entries of it."""
+
     kind: FleetNewsKind
     listings: list[Listing]
 
 
 @dataclass(slots=True)
 class TimerDue:
+    """A timer set by `SetTimer` has expired."""
+
     handle: int
 
 
 @dataclass(slots=True)
 class ProbeResult:
+    """A probe of a backend has ended."""
+
     backend: Backend
     outcome: ProbeOutcome
     latency_ms: float
-    load: tuple[float, ...]
+    load: tuple[float, ...]  # the backend's load fields, in the settings' order
 
 
 @dataclass(slots=True)
 class PeerMessage:
+    """Another controller has sent a message."""
+
     peer: int
     content: bytes
 
 
 @dataclass(slots=True)
 class ProxyJoined:
+    """A proxy has joined."""
+
     proxy: Proxy
     first_time: bool
 
 
 @dataclass(slots=True)
 class ProxyLeft:
+    """A proxy has left."""
+
     proxy: Proxy
 
 
 @dataclass(slots=True)
 class AttemptReport:
+    """Attempts at one backend from one zone, summed over a span of time."""
+
     zone: int
     backend: Backend
     attempts: int
     aborted_attempts: int
-    mean_latency_ms: float
+    mean_latency_ms: float  # of the attempts that were not aborted
     span_ms: float
-    load: tuple[float, ...]
+    load: tuple[float, ...]  # the backend's load fields, in the settings' order
 
 
 @dataclass(slots=True)
 class ProxyLoadReport:
+    """RPCs of one method at one proxy, summed over a span of time."""
+
     proxy: Proxy
     method: int
     rpcs: int
@@ -237,6 +248,8 @@
 
 @dataclass(slots=True)
 class SliceHeatReport:
+    """RPCs of one method for one slice, summed over a span of time."""
+
     slice: Slice
     method: int
     rpcs: int
@@ -246,12 +259,16 @@
 
 @dataclass(slots=True)
 class SliceLeaseChanged:
+    """A slice was granted to this instance, or taken from it."""
+
     slice: Slice
     is_granted: bool
 
 
 @dataclass(slots=True)
 class StoredEntry:
+    """A table entry of a granted slice, as stored."""
+
     slice: Slice
     backend: Backend
     weight: float
@@ -259,6 +276,8 @@
 
 @dataclass(slots=True)
 class SealConfirmed:
+    """A proxy has confirmed a seal, and with it all orders before it."""
+
     proxy: Proxy
     seal: int
     elapsed_ms: float
@@ -266,23 +285,22 @@
 
 @dataclass(slots=True)
 class ChannelState:
-    """Whether the channel takes orders now; the seal of a call of which it is not known whether it ran."""
+    """Whether the channel takes orders now, and whether the fate of the last call is known."""
 
     is_free: bool
-    unknown_seal: int = 0
-    is_broken: bool = field(
-        default=False, compare=False
-    )  # it broke off: the relay is there, and answers would be heard
+    unknown_seal: int = 0  # seal of a call that may have run or not; 0: there is none
+    # Whether that call broke off: the relay is there, and answers would be received.
+    is_broken: bool = field(default=False, compare=False)
 
     @property
     def awaits_answer(self) -> bool:
-        """Whether the last orders have yet to go out, or to be answered."""
+        """Whether the last orders are still to be sent, or to be answered."""
         return not self.is_free and not self.unknown_seal
 
 
 @dataclass(slots=True)
 class WithdrawalState:
-    """Whether a backend is withdrawn, other than was ordered: the call was given up."""
+    """Whether a backend is withdrawn, contrary to what was ordered: the call was given up."""
 
     backend: Backend
     is_withdrawn: bool
@@ -290,10 +308,10 @@
 
 @dataclass(slots=True)
 class OperatorOverrides:
-    """What the operators agreed on, in place of what they had: it stands until the next such event.
+    """What the operators have agreed on; it replaces the previous event of this type.
 
-    Who is out of service is as good as draining; a zone's backends are given that share of their usual work; a
-    method is worth what is said here, else what the site's terms say.
+    A backend out of service is treated as draining. The backends of a zone get the given share of
+    their usual work. A method has the criticality given here, else that of the site's settings.
     """
 
     out_of_service: list[Backend]
@@ -325,6 +343,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SetEntry:
+    """Set a table entry; weight 0 removes it."""
+
     slice: Slice
     backend: Backend
     weight: float
@@ -332,77 +352,102 @@
 
 @dataclass(frozen=True, slots=True)
 class ClearTable:
+    """Remove all entries of a table."""
+
     slice: Slice
 
 
 @dataclass(frozen=True, slots=True)
 class BindProxy:
+    """Make a proxy use a table."""
+
     slice: Slice
     proxy: Proxy
 
 
 @dataclass(frozen=True, slots=True)
 class SetWithdrawn:
+    """Withdraw a backend from all joined proxies, or readmit it."""
+
     backend: Backend
     is_withdrawn: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SetAdmissionLevel:
+    """Set how many RPCs of these methods are admitted, and how they are retried."""
+
     methods: tuple[int, ...]
     slice: Slice | None  # None: every slice of the instance
-    level: float
+    level: float  # a fraction or a rate, by the settings' admission mode
     retry: RetryMode
 
 
 @dataclass(frozen=True, slots=True)
 class Seal:
+    """Ask the proxies to confirm all orders before this one."""
+
     number: int
     all_proxies: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Ask for a `TimerDue` event after a delay."""
+
     delay_ms: float
     handle: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Probe a backend."""
+
     backend: Backend
 
 
 @dataclass(frozen=True, slots=True)
 class SendToPeers:
+    """Send a message to one other controller, or to all."""
+
     peer: int | None  # None: all of them
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class LogDecision:
+    """Log a text that explains a decision."""
+
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class FollowFleetList:
+    """Start or stop following the fleet list."""
+
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchFleetList:
+    """Fetch the fleet list once."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class RepeatCall:
-    """The call of this seal may go out again: if it ran, its lines are in the channel twice."""
+    """Allow the call of this seal to be sent again.
+
+    If the call had run, its entries are in the channel twice.
+    """
 
     seal: int
 
 
 @dataclass(frozen=True, slots=True)
 class ForgetBackend:
-    """Nothing names this backend any more, and it is gone: the adapter need not keep it."""
+    """Tell the adapter that it need not keep a backend: it is gone and nothing names it."""
 
     backend: Backend
 
