--- a/lifthinge/capture/against.py
+++ b/lifthinge/capture/against.py
@@ -13,14 +13,15 @@
 from pathlib import Path
 
 from lifthinge.capture.turns import Replay
-from lifthinge.interface import Event, Order, Say, Wake
+from lifthinge.interface import Event, LogDecision, Order, SetTimer
+from lifthinge.outer_names import outer_name
 
-MODULE = "lifthinge/choice.py"
-QUIET = (Say, Wake)  # orders that change nothing outside
+MODULE = "lifthinge/policy.py"
+QUIET = (LogDecision, SetTimer)  # orders that change nothing outside
 
 
 def load_text(where: str) -> type | str:
-    """`Choice` of another text, a file or a revision of this repository; or why there is none."""
+    """`Policy` of another text, a file or a revision of this repository; or why there is none."""
     path = Path(where)
     if path.is_dir():
         path = path / MODULE
@@ -31,11 +32,11 @@
         with tempfile.NamedTemporaryFile("w", suffix=".py", delete=False) as file:
             file.write(shown.stdout)
         path = Path(file.name)
-    spec = importlib.util.spec_from_file_location("lifthinge_other_choice", path)
+    spec = importlib.util.spec_from_file_location("lifthinge_other_policy", path)
     module = importlib.util.module_from_spec(spec)
     try:
         spec.loader.exec_module(module)
-        return module.Choice
+        return module.Policy
     except Exception as error:  # another text may fail in any way
         return f"{where}: {type(error).__name__}: {error}"
 
@@ -69,19 +70,19 @@
         for record in records:
             self._one.play([record])
             self._other.play([record])
-            if record[0] != "t" or self._one.choice is None or self._other.choice is None:
+            if record[0] != "t" or self._one.policy is None or self._other.policy is None:
                 continue
             self.turns += 1
             ours, theirs = (
                 [order for order in played.orders if not isinstance(order, QUIET)]
                 for played in (self._one, self._other)
             )
-            self.ours.update(type(order).__name__ for order in ours)
-            self.theirs.update(type(order).__name__ for order in theirs)
+            self.ours.update(outer_name(type(order)) for order in ours)
+            self.theirs.update(outer_name(type(order)) for order in theirs)
             if self._one.coder.plain(ours) != self._other.coder.plain(theirs):
                 self.parted += 1
                 self.first = self.first or Parting(record[1], self._one.events, ours, theirs)
 
     def begin_life(self) -> None:
         """Another start of the program."""
-        self._one.choice = self._other.choice = None
+        self._one.policy = self._other.policy = None
--- a/lifthinge/capture/anonymise.py
+++ b/lifthinge/capture/anonymise.py
@@ -1,6 +1,6 @@
 """Other names for backends, the same all through a capture, so that it can be handed on; its replay still agrees.
 
-What decisions say in words (`Say`) holds names and is no part of a turn's digest; notes between controllers are bytes
+What decisions say in words (`LogDecision`) holds names and is no part of a turn's digest; notes between controllers are bytes
 that nobody can look into, so they are emptied only where none is decided on (none is today).
 
 >>> names = Names()
@@ -16,7 +16,7 @@
 from lifthinge.interface import Backend
 
 _EP, _NAME = (
-    2 + [one.name for one in fields(Backend)].index(name) for name in ("ep", "name")
+    2 + [one.name for one in fields(Backend)].index(name) for name in ("backend_id", "name")
 )  # after tag, number
 
 
--- a/lifthinge/capture/words.py
+++ b/lifthinge/capture/words.py
@@ -1,17 +1,19 @@
 """Events and orders in words: kind, then its fields, objects by what they are known by.
 
->>> from lifthinge.interface import Backend, Form, FleetNews, Listing, Phase, SetLine, Slice
->>> words(SetLine(Slice(3), Backend("s-a", "s-a"), 0.50004))
+>>> from lifthinge.interface import Backend, FleetNewsKind, FleetNews, Listing, Phase, SetEntry, Slice
+>>> words(SetEntry(Slice(3), Backend("s-a", "s-a"), 0.50004))
 'SetLine slice=3 backend=s-a weight=0.5'
->>> words(FleetNews(Form.DELTA, [Listing(Backend("s-a", "s-a"), 1, 0, Phase.READY, 0.0, 1.0)]))
+>>> words(FleetNews(FleetNewsKind.DELTA, [Listing(Backend("s-a", "s-a"), 1, 0, Phase.READY, 0.0, 1.0)]))
 'FleetNews form=delta listings=[Listing backend=s-a zone=1 cell=0 phase=ready started=0 size=1]'
 """
 
 from enum import Enum
 from typing import Any
 
-from lifthinge.capture.codec import KINDS
 from lifthinge.interface import Backend, Proxy, Slice
+from lifthinge.outer_names import KINDS, outer_name
+
+_TYPES = frozenset(kind.type for kind in KINDS.values())
 
 
 def words(one: Any) -> str:
@@ -28,9 +30,15 @@
         return "[" + ", ".join(map(words, one)) + "]"
     if isinstance(one, dict):
         return "{" + ", ".join(f"{words(key)}: {words(value)}" for key, value in one.items()) + "}"
-    name = type(one).__name__
-    if name in KINDS:
+    if type(one) in _TYPES:
+        name = outer_name(type(one))
         return " ".join(
-            [name, *(f"{field}={words(getattr(one, field))}" for field in KINDS[name][1])]
+            [
+                name,
+                *(
+                    f"{field}={words(getattr(one, attribute))}"
+                    for field, attribute in KINDS[name].fields.items()
+                ),
+            ]
         )
     return str(one)
--- a/lifthinge/interface.py
+++ b/lifthinge/interface.py
@@ -1,9 +1,12 @@
-"""Types at the door of the decision module: what it is told, what it may order, and its site's terms.
+"""Types of the decision module's interface: its events, its orders and the settings of its site.
 
-An adapter makes one `lifthinge.choice.Choice` for each instance, hands it the events of a batch with
-the batch's time, and carries out the orders that come back, in their order. Times are float
-milliseconds. Backends, slices and proxies are objects that the adapter makes once for each instance;
-their ids mean nothing to the decisions.
+An adapter makes one `lifthinge.policy.Policy` for each instance, passes it the events of a batch
+with the batch's time, and carries out the orders that it returns, in their order. Times are floats
+in milliseconds. Backends, slices and proxies are objects that the adapter makes once for each
+instance; the decisions compare them by identity and attach no meaning to their ids.
+
+A table is a dictionary from backend to weight; a table entry is one backend with its weight. The
+names under which these types and fields leave the process are in `lifthinge.outer_names`.
 """
 
 from dataclasses import dataclass, field
@@ -11,28 +14,28 @@
 from typing import Any, Union
 
 from lifthinge.histogram import Histogram
-from lifthinge.lowest import Lowest
+from lifthinge.sliding_minimum import SlidingWindowMinimum
 
 
 class Phase(Enum):
-    """What discovery says of a backend's process."""
+    """Life-cycle phase of a backend's process, as discovery reports it."""
 
     GONE = "gone"
     READY = "ready"
     DRAINING = "draining"
 
 
-class Form(Enum):
-    """What a piece of fleet news holds."""
+class FleetNewsKind(Enum):
+    """What a `FleetNews` event holds."""
 
-    DELTA = "delta"
-    FULL = "full"
-    CACHED = "cached"
-    MISSED = "missed"
+    DELTA = "delta"  # changed entries only
+    FULL = "full"  # the whole list
+    CACHED = "cached"  # the whole list as last stored
+    MISSED = "missed"  # no list: it could not be fetched
 
 
-class Outcome(Enum):
-    """What a probe found."""
+class ProbeOutcome(Enum):
+    """The result of a probe."""
 
     OK = "ok"
     ABORTED = "aborted"  # answered with an error
@@ -42,8 +45,8 @@
     BROKEN = "broken"
 
 
-class Retry(IntEnum):
-    """Further tries that a proxy makes at other lines of a table."""
+class RetryMode(IntEnum):
+    """Further attempts that a proxy makes at other entries of a table."""
 
     NEVER = 0
     NEVER_RAN = 1
@@ -53,96 +56,97 @@
 
 @dataclass(frozen=True)
 class Method:
-    """What one method's RPCs are worth, and until when."""
+    """The deadlines and the criticality of one method's RPCs."""
 
-    soft_deadline: float
-    deadline: float
+    soft_deadline_ms: float
+    deadline_ms: float
     criticality: float
 
 
 @dataclass(frozen=True)
-class SiteTerms:
-    """What a site fixes for the day."""
+class SiteSettings:
+    """Settings of a site; they do not change while an instance runs."""
 
     methods: tuple[Method, ...]
     sliced: bool
-    one_owner: bool
+    has_single_owner: bool
     news_on_request: bool
-    sizes_told: bool
-    levels: str  # "ratio", "rps" or "silent"
-    report_every: float
-    channel_rate: float  # lines a millisecond
-    head_lines: float
-    pending_max: float
-    pushes_allowed: int
-    update_window: float
-    warm_up: float
-    transit_max: float = (
-        2_000.0  # the longest way of a message from the channel to a proxy, and into force
-    )
-    proxies: int = 1  # of the site; where it is sliced, each joins every instance
+    uses_listed_sizes: bool
+    admission_mode: str  # "ratio", "rps" or "silent"
+    report_interval_ms: float
+    channel_entries_per_ms: float  # table entries that the channel sends per ms
+    message_overhead_entries: float  # fixed cost of a message, in table entries
+    max_pending_entries: float  # table entries that may wait in the channel
+    max_pushes_per_window: int  # 0: no limit
+    push_window_ms: float
+    warm_up_ms: float
+    # The longest time of a message from the channel to a proxy, until it is in force there.
+    max_transit_ms: float = 2_000.0
+    proxy_count: int = 1  # proxies of the site; where it is sliced, each joins every instance
 
 
 @dataclass(eq=False, slots=True)
 class Backend:
-    """A backend as listed, and the working memory that the decisions keep of it."""
+    """A backend as listed, and the state that the decisions keep of it."""
 
-    ep: Any
+    backend_id: Any
     name: str
     zone: int = 0
-    phase: Phase = Phase.GONE
-    listed: Phase = Phase.GONE  # as discovery says; `phase` is draining if it is out by hand, too
-    told_size: float = 1.0
-    started: float = 0.0
-    size: float = 1.0
-    # working memory
-    shut_out: bool = False  # present state: withdrawn from the joined proxies
-    lows: Lowest = field(default_factory=Lowest)
-    ratio: float | None = None
-    heard_at: float | None = None
-    strikes: int = 0
-    ok: float = 0.0
-    aborted: float = 0.0
-    asked: float = 0.0
-    took_sum: float = 0.0
-    low: float = 1.0  # the lowest latency of the last minute
-    took: float = 0.0  # mean latency of the tries of late
-    late: tuple[float, float] = (
-        0.0,
-        0.0,
-    )  # those that went well, and the sum of their latencies, halved
-    outcomes: Histogram = field(
-        default_factory=lambda: Histogram((0.5,))
-    )  # 0 went well, 1 went wrong
-    shut_until: float = 0.0
-    trips: int = 0
-    slow: float = 0.0  # mean latency of late, smoothed
-    on_trial: bool = False  # was shut, and has not answered well since
-    dry: float = 0.0  # asked since a try last went well
-    eased_from: float | None = None
-    ease_span: float = 1.0
-    heat: float = 0.0
-    home_heat: float = 0.0  # of the slices that it owns, wherever they are served
-    spare_heat: float = 0.0
+    phase: Phase = Phase.GONE  # the listed phase, or draining if operators took it out of service
+    listed_phase: Phase = Phase.GONE  # as discovery reports it
+    listed_size: float = 1.0
+    started_at_ms: float = 0.0
+    size: float = 1.0  # the listed size times the operators' share for its zone
+    # Present state: withdrawn from the joined proxies.
+    is_withdrawn: bool = False
+    # Working memory of the decisions.
+    latency_minimum: SlidingWindowMinimum = field(default_factory=SlidingWindowMinimum)
+    latency_ratio: float | None = None  # mean latency over the lowest latency; None if unknown
+    last_ok_at_ms: float | None = None  # when a report last held a successful attempt
+    consecutive_violations: int = 0  # reports in a row above the violator mark
+    # Sums over the current report interval.
+    ok_attempts: float = 0.0
+    aborted_attempts: float = 0.0
+    expected_rpcs: float = 0.0  # RPCs that the tables should have sent to it
+    ok_latency_sum_ms: float = 0.0
+    lowest_latency_ms: float = 1.0  # of the last minute
+    mean_latency_ms: float = 0.0  # of recent successful attempts
+    # Successful attempts and the sum of their latencies in ms; halved at each report that has any.
+    decayed_ok_totals: tuple[float, float] = (0.0, 0.0)
+    # Outcomes of recent attempts: 0 for success, 1 for failure.
+    outcomes: Histogram = field(default_factory=lambda: Histogram((0.5,)))
+    ejected_until_ms: float = 0.0
+    ejection_count: int = 0
+    smoothed_latency_ms: float = 0.0  # exponential mean of `mean_latency_ms`
+    is_on_probation: bool = False  # was ejected, and has not answered well since
+    rpcs_since_ok: float = 0.0  # expected RPCs since an attempt last succeeded
+    ramp_start_ms: float | None = None  # start of its warm-up; None: it was never seen to start
+    ramp_duration_ms: float = 1.0
+    heat: float = 0.0  # RPCs per ms by the present tables
+    owned_heat: float = 0.0  # RPCs per ms of the slices that it owns, wherever they are served
+    standby_heat: float = 0.0  # RPCs per ms of the slices for which it stands by
 
 
 @dataclass(eq=False, slots=True)
 class Slice:
-    """A slice of the key space (or, where there are none, a table), and its working memory."""
+    """A slice of the key space, or the one table of an unsliced site, and the state kept of it."""
 
     number: int
-    held: bool = False
-    lines: dict = field(default_factory=dict)  # present state: backend -> weight
+    is_leased: bool = False  # whether it is in this instance's charge
+    table: dict = field(default_factory=dict)  # present state: backend -> weight
     owner: Backend | None = None
-    wanted: dict = field(default_factory=dict)  # backend -> part of the slice's RPCs
-    owed: list = field(default_factory=list)  # lines that bring the present state to the wanted one
-    shifts: bool = False  # whether those shift RPCs, or only stand by
-    rests_until: float = 0.0
-    moved_at: float | None = None
-    heat: float | None = None  # RPCs a millisecond
-    rates: dict = field(default_factory=dict)  # method -> RPCs a millisecond, and when last heard
-    let_in: float = 0.0
-    levels: tuple = (1.0, 1.0)  # present state: let in of the least criticality, and of others
+    desired_shares: dict = field(default_factory=dict)  # backend -> share of the slice's RPCs
+    # Orders that bring the present state to the desired one.
+    pending_orders: list = field(default_factory=list)
+    shifts_rpcs: bool = False  # whether the pending orders shift RPCs, or only standby entries
+    move_blocked_until_ms: float = 0.0
+    rpcs_shifted_at_ms: float | None = None  # when its RPCs were last shifted
+    heat: float | None = None  # RPCs per ms
+    # Method -> RPCs per ms, and when they were last reported.
+    method_rates: dict = field(default_factory=dict)
+    admitted_rpcs: float = 0.0  # RPCs admitted in the current report interval
+    # Present state: the fraction admitted of the least critical methods, and of the others.
+    admission_levels: tuple = (1.0, 1.0)
 
 
 @dataclass(eq=False, slots=True)
@@ -152,7 +156,7 @@
     number: int
     zone: int = 0
     size: float = 0.0
-    bound: bool = False
+    is_bound: bool = False  # whether it uses every table of an unsliced site
 
 
 # Events
@@ -160,89 +164,111 @@
 
 @dataclass(slots=True)
 class Listing:
-    """One entry of fleet news."""
+    """One entry of the fleet list."""
 
     backend: Backend
     zone: int
     cell: int
     phase: Phase
-    started: float
+    started_at_ms: float
     size: float
 
 
 @dataclass(slots=True)
 class FleetNews:
-    form: Form
+    """The fleet list, or changed entries of it."""
+
+    kind: FleetNewsKind
     listings: list[Listing]
 
 
 @dataclass(slots=True)
 class TimerDue:
+    """A timer set by `SetTimer` has expired."""
+
     handle: int
 
 
 @dataclass(slots=True)
 class ProbeResult:
+    """A probe of a backend has ended."""
+
     backend: Backend
-    outcome: Outcome
-    took: float
-    load: tuple[float, ...]
+    outcome: ProbeOutcome
+    latency_ms: float
+    load: tuple[float, ...]  # the backend's load fields, in the settings' order
 
 
 @dataclass(slots=True)
-class PeerNote:
+class PeerMessage:
+    """Another controller has sent a message."""
+
     peer: int
     content: bytes
 
 
 @dataclass(slots=True)
 class ProxyJoined:
+    """A proxy has joined."""
+
     proxy: Proxy
     first_time: bool
 
 
 @dataclass(slots=True)
 class ProxyLeft:
+    """A proxy has left."""
+
     proxy: Proxy
 
 
 @dataclass(slots=True)
-class TriesReport:
+class AttemptReport:
+    """Attempts at one backend from one zone, summed over a span of time."""
+
     zone: int
     backend: Backend
-    total: int
-    aborted: int
-    took: float
-    span: float
-    load: tuple[float, ...]
+    attempts: int
+    aborted_attempts: int
+    mean_latency_ms: float  # of the attempts that were not aborted
+    span_ms: float
+    load: tuple[float, ...]  # the backend's load fields, in the settings' order
 
 
 @dataclass(slots=True)
-class ProxyLoad:
+class ProxyLoadReport:
+    """RPCs of one method at one proxy, summed over a span of time."""
+
     proxy: Proxy
     method: int
-    total: int
-    unanswered: int
-    span: float
+    rpcs: int
+    unanswered_rpcs: int
+    span_ms: float
 
 
 @dataclass(slots=True)
-class SliceHeat:
+class SliceHeatReport:
+    """RPCs of one method for one slice, summed over a span of time."""
+
     slice: Slice
     method: int
-    total: int
-    unanswered: int
-    span: float
+    rpcs: int
+    unanswered_rpcs: int
+    span_ms: float
 
 
 @dataclass(slots=True)
-class Leased:
+class SliceLeaseChanged:
+    """A slice was granted to this instance, or taken from it."""
+
     slice: Slice
-    given: bool
+    is_granted: bool
 
 
 @dataclass(slots=True)
-class StoredLine:
+class StoredEntry:
+    """A table entry of a granted slice, as stored."""
+
     slice: Slice
     backend: Backend
     weight: float
@@ -250,64 +276,65 @@
 
 @dataclass(slots=True)
 class SealConfirmed:
+    """A proxy has confirmed a seal, and with it all orders before it."""
+
     proxy: Proxy
     seal: int
-    took: float
+    elapsed_ms: float
 
 
 @dataclass(slots=True)
 class ChannelState:
-    """Whether the channel takes orders now; the seal of a call of which it is not known whether it ran."""
+    """Whether the channel takes orders now, and whether the fate of the last call is known."""
 
-    free: bool
-    unknown: int = 0
-    broken: bool = field(
-        default=False, compare=False
-    )  # it broke off: the relay is there, and answers would be heard
+    is_free: bool
+    unknown_seal: int = 0  # seal of a call that may have run or not; 0: there is none
+    # Whether that call broke off: the relay is there, and answers would be received.
+    is_broken: bool = field(default=False, compare=False)
 
     @property
-    def held(self) -> bool:
-        """Whether the last orders have yet to go out, or to be answered."""
-        return not self.free and not self.unknown
+    def awaits_answer(self) -> bool:
+        """Whether the last orders are still to be sent, or to be answered."""
+        return not self.is_free and not self.unknown_seal
 
 
 @dataclass(slots=True)
-class OutStands:
-    """Whether a backend is withdrawn, other than was ordered: the call was given up."""
+class WithdrawalState:
+    """Whether a backend is withdrawn, contrary to what was ordered: the call was given up."""
 
     backend: Backend
-    out: bool
+    is_withdrawn: bool
 
 
 @dataclass(slots=True)
-class ByHand:
-    """What the operators agreed on, in place of what they had: it stands until the next such event.
+class OperatorOverrides:
+    """What the operators have agreed on; it replaces the previous event of this type.
 
-    Who is out of service is as good as draining; a zone's backends are given that share of their usual work; a
-    method is worth what is said here, else what the site's terms say.
+    A backend out of service is treated as draining. The backends of a zone get the given share of
+    their usual work. A method has the criticality given here, else that of the site's settings.
     """
 
-    out: list[Backend]
-    shares: dict[int, float]
-    criticality: dict[int, float]
+    out_of_service: list[Backend]
+    zone_shares: dict[int, float]
+    method_criticality: dict[int, float]
 
 
 Event = Union[
-    ByHand,
+    OperatorOverrides,
     FleetNews,
     TimerDue,
     ProbeResult,
-    PeerNote,
+    PeerMessage,
     ProxyJoined,
     ProxyLeft,
-    TriesReport,
-    ProxyLoad,
-    SliceHeat,
-    Leased,
-    StoredLine,
+    AttemptReport,
+    ProxyLoadReport,
+    SliceHeatReport,
+    SliceLeaseChanged,
+    StoredEntry,
     SealConfirmed,
     ChannelState,
-    OutStands,
+    WithdrawalState,
 ]
 
 
@@ -315,7 +342,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetLine:
+class SetEntry:
+    """Set a table entry; weight 0 removes it."""
+
     slice: Slice
     backend: Backend
     weight: float
@@ -323,94 +352,119 @@
 
 @dataclass(frozen=True, slots=True)
 class ClearTable:
+    """Remove all entries of a table."""
+
     slice: Slice
 
 
 @dataclass(frozen=True, slots=True)
 class BindProxy:
+    """Make a proxy use a table."""
+
     slice: Slice
     proxy: Proxy
 
 
 @dataclass(frozen=True, slots=True)
-class ShutOut:
+class SetWithdrawn:
+    """Withdraw a backend from all joined proxies, or readmit it."""
+
     backend: Backend
-    out: bool
+    is_withdrawn: bool
 
 
 @dataclass(frozen=True, slots=True)
-class SetLevel:
+class SetAdmissionLevel:
+    """Set how many RPCs of these methods are admitted, and how they are retried."""
+
     methods: tuple[int, ...]
     slice: Slice | None  # None: every slice of the instance
-    level: float
-    retry: Retry
+    level: float  # a fraction or a rate, by the settings' admission mode
+    retry: RetryMode
 
 
 @dataclass(frozen=True, slots=True)
 class Seal:
+    """Ask the proxies to confirm all orders before this one."""
+
     number: int
-    everyone: bool = False
+    all_proxies: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
-    delay: float
+class SetTimer:
+    """Ask for a `TimerDue` event after a delay."""
+
+    delay_ms: float
     handle: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Probe a backend."""
+
     backend: Backend
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeers:
+class SendToPeers:
+    """Send a message to one other controller, or to all."""
+
     peer: int | None  # None: all of them
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogDecision:
+    """Log a text that explains a decision."""
+
     text: str
 
 
 @dataclass(frozen=True, slots=True)
-class FollowList:
-    on: bool
+class FollowFleetList:
+    """Start or stop following the fleet list."""
+
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchFleetList:
+    """Fetch the fleet list once."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class RepeatCall:
-    """The call of this seal may go out again: if it ran, its lines are in the channel twice."""
+    """Allow the call of this seal to be sent again.
+
+    If the call had run, its entries are in the channel twice.
+    """
 
     seal: int
 
 
 @dataclass(frozen=True, slots=True)
-class Forget:
-    """Nothing names this backend any more, and it is gone: the adapter need not keep it."""
+class ForgetBackend:
+    """Tell the adapter that it need not keep a backend: it is gone and nothing names it."""
 
     backend: Backend
 
 
 Order = Union[
-    SetLine,
+    SetEntry,
     ClearTable,
     BindProxy,
-    ShutOut,
-    SetLevel,
+    SetWithdrawn,
+    SetAdmissionLevel,
     Seal,
-    Wake,
+    SetTimer,
     Probe,
-    TellPeers,
-    Say,
-    FollowList,
-    FetchList,
+    SendToPeers,
+    LogDecision,
+    FollowFleetList,
+    FetchFleetList,
     RepeatCall,
-    Forget,
+    ForgetBackend,
 ]
--- a/lifthinge/lab/capturebench.py
+++ b/lifthinge/lab/capturebench.py
@@ -15,13 +15,12 @@
 from lifthinge.capture.codec import Coder
 from lifthinge.capture.segments import SegmentWriter, read_segment, segments
 from lifthinge.capture.turns import Replay
-from lifthinge.choice import Choice
 from lifthinge.interface import (
+    AttemptReport,
     Backend,
     Event,
     FleetNews,
-    Form,
-    Leased,
+    FleetNewsKind,
     Listing,
     Method,
     Phase,
@@ -29,29 +28,31 @@
     ProxyJoined,
     Seal,
     SealConfirmed,
-    SiteTerms,
+    SiteSettings,
     Slice,
-    SliceHeat,
-    StoredLine,
-    TriesReport,
+    SliceHeatReport,
+    SliceLeaseChanged,
+    StoredEntry,
 )
 from lifthinge.memory.counters import Counters
+from lifthinge.outer_names import KINDS, outer_name
+from lifthinge.policy import Policy
 
 EVERY = 500.0  # ms between turns with reports
-TERMS = SiteTerms(
+TERMS = SiteSettings(
     methods=(Method(1500.0, 5000.0, 1.0), Method(800.0, 2000.0, 3.0)),
     sliced=True,
-    one_owner=False,
+    has_single_owner=False,
     news_on_request=False,
-    sizes_told=True,
-    levels="ratio",
-    report_every=EVERY,
-    channel_rate=50.0,
-    head_lines=10.0,
-    pending_max=75_000.0,
-    pushes_allowed=0,
-    update_window=10_000.0,
-    warm_up=16_000.0,
+    uses_listed_sizes=True,
+    admission_mode="ratio",
+    report_interval_ms=EVERY,
+    channel_entries_per_ms=50.0,
+    message_overhead_entries=10.0,
+    max_pending_entries=75_000.0,
+    max_pushes_per_window=0,
+    push_window_ms=10_000.0,
+    warm_up_ms=16_000.0,
 )
 
 
@@ -71,12 +72,12 @@
             Listing(one, place % 3, 0, Phase.READY, 0.0, 1.0)
             for place, one in enumerate(self.backends)
         ]
-        events: list[Event] = [FleetNews(Form.FULL, listings)]
+        events: list[Event] = [FleetNews(FleetNewsKind.FULL, listings)]
         events += [ProxyJoined(one, True) for one in self.proxies]
         for place, one in enumerate(self.slices):
             events += [
-                Leased(one, True),
-                StoredLine(one, self.backends[place % len(self.backends)], 1.0),
+                SliceLeaseChanged(one, True),
+                StoredEntry(one, self.backends[place % len(self.backends)], 1.0),
             ]
         return events
 
@@ -88,7 +89,7 @@
             for zone in range(2):
                 slow = 8.0 if one is self.backends[int(dice.random() * 3)] else 1.0
                 events.append(
-                    TriesReport(
+                    AttemptReport(
                         zone,
                         one,
                         dice.randrange(1, 20),
@@ -99,7 +100,7 @@
                     )
                 )
         events += [
-            SliceHeat(one, dice.randrange(2), dice.randrange(30), 0, EVERY)
+            SliceHeatReport(one, dice.randrange(2), dice.randrange(30), 0, EVERY)
             for one in dice.sample(self.slices, len(self.slices) // 2)
         ]
         return events
@@ -107,11 +108,11 @@
 
 def _play(backends: int, proxies: int, turns: int, folder: Path | None) -> dict[str, Any]:
     """One day of so many turns; `folder` has it captured."""
-    load, choice, counters = Load(backends, proxies, 5), Choice(TERMS, 5), Counters()
+    load, policy, counters = Load(backends, proxies, 5), Policy(TERMS, 5), Counters()
     decider = (
-        choice
+        policy
         if folder is None
-        else Capture(choice, SegmentWriter(folder, {"life": 1}, 1 << 34, 4 << 20), counters)
+        else Capture(policy, SegmentWriter(folder, {"life": 1}, 1 << 34, 4 << 20), counters)
     )
     waits, told, now, events = [], 0, 0.0, load.start()
     gc.collect()
@@ -155,15 +156,15 @@
                 size += len(
                     json.dumps(
                         {
-                            "event": type(event).__name__,
+                            "event": outer_name(type(event)),
                             "at": record[1],
                             **{
-                                name: getattr(value, "ep", getattr(value, "number", None))
+                                name: getattr(value, "backend_id", getattr(value, "number", None))
                                 if isinstance(
-                                    value := getattr(event, name), (Backend, Slice, Proxy)
+                                    value := getattr(event, attribute), (Backend, Slice, Proxy)
                                 )
                                 else str(value)
-                                for name in event.__slots__
+                                for name, attribute in KINDS[outer_name(type(event))].fields.items()
                             },
                         }
                     )
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -9,32 +9,33 @@
 from lifthinge.interface import (
     ChannelState,
     Event,
-    FetchList,
+    FetchFleetList,
     FleetNews,
-    FollowList,
-    Forget,
-    Form,
-    Leased,
+    FleetNewsKind,
+    FollowFleetList,
+    ForgetBackend,
     Listing,
+    LogDecision,
     Order,
-    OutStands,
     Phase,
     Probe,
     ProxyJoined,
     ProxyLeft,
     RepeatCall,
-    Say,
     SealConfirmed,
-    SetLine,
-    ShutOut,
-    StoredLine,
-    TellPeers,
+    SendToPeers,
+    SetEntry,
+    SetTimer,
+    SetWithdrawn,
+    SliceLeaseChanged,
+    StoredEntry,
     TimerDue,
-    Wake,
+    WithdrawalState,
 )
 from lifthinge.memory.books import Books
 from lifthinge.memory.calls import Calls
 from lifthinge.memory.world import World
+from lifthinge.outer_names import outer_name
 from lifthinge.service.environment import BadStart, Place, unfollowed
 from lifthinge.wire.collectors import Reception
 from lifthinge.wire.discovery import Discovery
@@ -57,7 +58,7 @@
 
 
 class Decider(Protocol):
-    """What decides: `lifthinge.choice.Choice`."""
+    """What decides: `lifthinge.policy.Policy`."""
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]: ...
 
@@ -73,11 +74,11 @@
 class Controller:
     """Owns everything that belongs to one controller; settings say what of it exists."""
 
-    def __init__(self, place: Place, books: Books, choice: Decider) -> None:
-        self.place, self.books, self.choice, self.world, self.calls = (
+    def __init__(self, place: Place, books: Books, policy: Decider) -> None:
+        self.place, self.books, self.policy, self.world, self.calls = (
             place,
             books,
-            choice,
+            policy,
             World(),
             Calls(),
         )
@@ -100,7 +101,7 @@
             books,
             list(place.peers),
             place.peers_all,
-            place.site.number,
+            place.site.controller_number,
             lambda note: self.tell([note]),
         )
         self.ready = False  # it can decide, and knows what stands
@@ -109,16 +110,16 @@
         self._events: list[Event] = []
         self._tasks: dict[asyncio.Task, str] = {}
         self._carry: dict[type, Callable[[Any], None]] = {
-            Wake: lambda o: self.books.deadlines.set(
-                o.delay, lambda: self.tell([TimerDue(o.handle)])
+            SetTimer: lambda o: self.books.deadlines.set(
+                o.delay_ms, lambda: self.tell([TimerDue(o.handle)])
             ),
             Probe: lambda o: self.probes.probe(o.backend),
-            TellPeers: lambda o: self.peers.send(o.peer, o.content),
+            SendToPeers: lambda o: self.peers.send(o.peer, o.content),
             RepeatCall: lambda o: self.relay.repeat(o.seal),
-            Say: lambda o: log.info("decided", {"what": o.text}),
-            FollowList: lambda o: self._follow(o.on),
-            Forget: lambda o: self.world.forget(o.backend),
-            FetchList: lambda o: self._run("fetch", self.discovery.fetch),
+            LogDecision: lambda o: log.info("decided", {"what": o.text}),
+            FollowFleetList: lambda o: self._follow(o.enabled),
+            ForgetBackend: lambda o: self.world.forget(o.backend),
+            FetchFleetList: lambda o: self._run("fetch", self.discovery.fetch),
         }
 
     async def start(self) -> None:
@@ -199,13 +200,13 @@
         """Notes what stands now, and drops the orders that died with a slice."""
         for event in events:
             if isinstance(event, ProxyJoined):
-                self.world.joined[event.proxy], event.proxy.bound = event.first_time, False
+                self.world.joined[event.proxy], event.proxy.is_bound = event.first_time, False
             elif isinstance(event, ProxyLeft):
                 self.world.joined.pop(event.proxy, None)
-            elif isinstance(event, Leased):
+            elif isinstance(event, SliceLeaseChanged):
                 self.calls.slice_gone(event.slice)
                 self.world.held.pop(event.slice, None)
-                if event.given:
+                if event.is_granted:
                     self.world.held[event.slice] = None
             elif isinstance(event, SealConfirmed):
                 self.relay.confirmed(event.seal)
@@ -215,22 +216,32 @@
         """A whole call was given up: tables are told anew, withdrawals stand as they did before."""
         self.news.renew()
         self.tell(
-            [OutStands(one.backend, not one.out) for one in orders if isinstance(one, ShutOut)]
+            [
+                WithdrawalState(one.backend, not one.is_withdrawn)
+                for one in orders
+                if isinstance(one, SetWithdrawn)
+            ]
         )
 
     def _refused(self, order: Order) -> None:
         """The relay could not use an order, as it knows no such backend: the decisions hear what stands instead."""
-        if isinstance(order, SetLine) and order.slice in self.world.held:
+        if isinstance(order, SetEntry) and order.slice in self.world.held:
             gone = Listing(
                 order.backend, order.backend.zone, 0, Phase.GONE, 0.0, order.backend.size
             )
             self.world.listed.pop(order.backend, None)
             lines = [
-                StoredLine(order.slice, backend, weight)
-                for backend, weight in order.slice.lines.items()
+                StoredEntry(order.slice, backend, weight)
+                for backend, weight in order.slice.table.items()
                 if backend is not order.backend
             ]
-            self.tell([FleetNews(Form.DELTA, [gone]), Leased(order.slice, True), *lines])
+            self.tell(
+                [
+                    FleetNews(FleetNewsKind.DELTA, [gone]),
+                    SliceLeaseChanged(order.slice, True),
+                    *lines,
+                ]
+            )
 
     def _turn(self) -> None:
         events, self._events, self._turn_due = self._events, [], False
@@ -239,21 +250,21 @@
             ChannelState(not self.calls, self.relay.unknown, self.relay.broken),
         )
         try:
-            orders = self.choice.decide(began, [way, *events])
+            orders = self.policy.decide(began, [way, *events])
         except (
             Exception
         ) as error:  # what is decided next may be better; who asks hears that it is not well
             log.error("decision_failed", {"error": repr(error)}, exc_info=True)
             self.books.counters.add("decision_failed")
             self.ready = False
-            self.books.deadlines.set(self.place.terms.report_every, lambda: self.tell([]))
+            self.books.deadlines.set(self.place.terms.report_interval_ms, lambda: self.tell([]))
             return
         self.books.counters.add("decisions")
         self.books.counters.most("decision.longest_ms", round(self.books.now - began, 1))
         given = [order for order in orders if self.door.is_order(order)]
         if given:
             for order in given:
-                self.books.counters.add(f"orders.{type(order).__name__}")
+                self.books.counters.add(f"orders.{outer_name(type(order))}")
             self.relay.give(given)
         for order in orders:
             if not self.door.is_order(order):
--- a/lifthinge/service/environment.py
+++ b/lifthinge/service/environment.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, fields
 from typing import Any
 
-from lifthinge.interface import SiteTerms
-from lifthinge.terms import BadTerms, SiteMap, read_map, read_terms
+from lifthinge.interface import SiteSettings
+from lifthinge.settings import SettingsError, SiteLayout, read_layout, read_settings
 from lifthinge.wire.door import address
 
 SOCKETS_LEAST, MEMORY_LEAST = 64, 24
@@ -39,8 +39,8 @@
     sockets: int
     memory_mb: float
     known: dict[str, Any]
-    terms: SiteTerms
-    site: SiteMap
+    terms: SiteSettings
+    site: SiteLayout
 
 
 def read_place(environment: Mapping[str, str], anew: bool = False) -> Place:
@@ -71,10 +71,10 @@
     )
     limits = _part(conf, "limits")
     try:
-        terms, site = read_terms(conf.get("settings")), read_map(conf.get("settings"))
-    except BadTerms as error:
+        terms, site = read_settings(conf.get("settings")), read_layout(conf.get("settings"))
+    except SettingsError as error:
         raise BadStart("settings", str(error)) from None
-    peers = conf.get("peers", []) if site.peers else []
+    peers = conf.get("peers", []) if site.has_peers else []
     if not isinstance(peers, list):
         raise BadStart("peers", "not a list")
     return Place(
@@ -82,10 +82,10 @@
         listen=listen,
         discovery=discovery,
         relay=_address("distributor.address", _part(conf, "distributor").get("address")),
-        peer_listen=_address("peer_listen", conf.get("peer_listen")) if site.peers else None,
+        peer_listen=_address("peer_listen", conf.get("peer_listen")) if site.has_peers else None,
         peers=tuple(_address("peers", one) for one in peers),
         peers_all=_address("peers_all", conf["peers_all"])
-        if site.peers and conf.get("peers_all")
+        if site.has_peers and conf.get("peers_all")
         else None,
         seed=_seed(conf.get("seed")),
         sockets=_sockets(limits.get("sockets")),
--- a/lifthinge/wire/news.py
+++ b/lifthinge/wire/news.py
@@ -7,13 +7,14 @@
 import asyncio
 from collections.abc import Callable
 
-from lifthinge.interface import Event, Leased, SealConfirmed, StoredLine
+from lifthinge.interface import Event, SealConfirmed, SliceLeaseChanged, StoredEntry
 from lifthinge.memory.attempts import Cause, Failure, Reach
 from lifthinge.memory.books import Books
 from lifthinge.memory.calls import Calls
 from lifthinge.memory.deadlines import Deadline
 from lifthinge.memory.stand import Stand
 from lifthinge.memory.world import World
+from lifthinge.outer_names import outer_name
 from lifthinge.wire import names
 from lifthinge.wire.client import HttpConnection, Result, get
 from lifthinge.wire.connection import connect
@@ -156,7 +157,7 @@
         if isinstance(event, Skip):
             self.books.notices.note("bad_news", why=event.why)
         elif event is not None:
-            self.books.counters.add(f"news.{type(event).__name__}")
+            self.books.counters.add(f"news.{outer_name(type(event))}")
             if connection.stand is not None:
                 connection.stand.take(event)
             else:
@@ -177,13 +178,13 @@
 
     def _pass(self, event: Event) -> None:
         """Hands an event on; a slice just given waits for its lines, or it would pass for a bare one."""
-        if isinstance(event, Leased) and event.given:
+        if isinstance(event, SliceLeaseChanged) and event.is_granted:
             if (
                 event.slice in self.world.held
             ):  # nothing may be ordered for it on its old lines meanwhile
-                self.tell([Leased(event.slice, False)])
+                self.tell([SliceLeaseChanged(event.slice, False)])
             self._given[event.slice] = [event]
-        elif isinstance(event, StoredLine) and event.slice in self._given:
+        elif isinstance(event, StoredEntry) and event.slice in self._given:
             self._given[event.slice].append(event)
         else:
             self._tell_given()
--- a/tests/check_capture.py
+++ b/tests/check_capture.py
@@ -3,20 +3,22 @@
 import tempfile
 import threading
 import zlib
+from dataclasses import fields
 from pathlib import Path
 from random import Random
 
 import msgspec
 
-from lifthinge import choice as choice_module
+from lifthinge import policy as policy_module
 from lifthinge.capture.against import Against, load_text
 from lifthinge.capture.anonymise import Names, anonymised
 from lifthinge.capture.capture import Capture
-from lifthinge.capture.codec import Unreadable
+from lifthinge.capture.codec import NAMED, Unreadable
 from lifthinge.capture.segments import BLOCK, HEAD, NoCapture, SegmentWriter, read_segment, segments
 from lifthinge.capture.turns import Recorder, Replay, from_keyframes
-from lifthinge.choice import Choice
 from lifthinge.memory.counters import Counters
+from lifthinge.outer_names import ENUMS, HOLDERS, KINDS, STATE, outer_name
+from lifthinge.policy import Policy
 from lifthinge.store.records import pack
 from tests.play import stage
 
@@ -33,20 +35,20 @@
         super().__init__()
 
     def tell(self, *events: object) -> None:
-        if self.choice is None:
-            self.choice = _Behind(Choice(self.terms, 7), self)
+        if self.policy is None:
+            self.policy = _Behind(Policy(self.terms, 7), self)
         super().tell(*events)
 
 
 class _Behind(Recorder):
-    def __init__(self, choice: Choice, owner: Recorded) -> None:
-        super().__init__(choice)
+    def __init__(self, policy: Policy, owner: Recorded) -> None:
+        super().__init__(policy)
         self.turns = 0
         self.records = []
         owner.records.append(self.records)
 
     def __getattr__(self, name: str) -> object:  # what scenarios look at
-        return getattr(self.__dict__["choice"], name)
+        return getattr(self.__dict__["policy"], name)
 
     def decide(self, now: float, events) -> list:
         self.turns += 1
@@ -77,13 +79,13 @@
     """A replay notices: with another text of the module some turn orders otherwise."""
     played = Recorded()
     played.run((HERE / "scenarios" / "violator.txt").read_text())
-    from lifthinge import choice
+    from lifthinge import policy
 
-    mark, choice.VIOLATOR_MARK = choice.VIOLATOR_MARK, 50.0
+    mark, policy.VIOLATOR_MARK = policy.VIOLATOR_MARK, 50.0
     try:
         parted = Replay().play(played.records[0])
     finally:
-        choice.VIOLATOR_MARK = mark
+        policy.VIOLATOR_MARK = mark
     assert parted is not None and parted.now > 5_000.0, parted
 
 
@@ -94,25 +96,25 @@
 
     class Captured(stage.Stage):
         def tell(self, *events: object) -> None:
-            if self.choice is None:
-                self.choice = Capture(Choice(self.terms, 7), writer, counters)
-                self.choice._due.put(
+            if self.policy is None:
+                self.policy = Capture(Policy(self.terms, 7), writer, counters)
+                self.policy._due.put(
                     None
                 )  # in step here: which turn begins a segment must not hang on threads
-                self.choice._thread.join()
-                self.choice._due = InStep()
+                self.policy._thread.join()
+                self.policy._due = InStep()
             super().tell(*events)
 
     class InStep:
         def put(self, records: list | None) -> None:
             writer.write(records or [])
-            played.choice._written.append(len(records or []))
+            played.policy._written.append(len(records or []))
 
     played = Captured()
     played.run("\n".join((HERE / "scenarios" / name).read_text() for name in ("fill.txt",)))
     for moment in range(int(played.now) + 400, int(played.now) + 40_000, 400):
         played.play_to(float(moment))
-    played.choice.close()
+    played.policy.close()
     found = segments(folder)
     assert len(found) > 3 and found[0].path.name != "cap-00000001", [one.path.name for one in found]
     replay = Replay()
@@ -152,7 +154,7 @@
     most, module.WAITING_MOST = module.WAITING_MOST, 20
     counters = Counters()
     try:
-        captured = Capture(Choice(stage.TERMS, 7), Slow(), counters)
+        captured = Capture(Policy(stage.TERMS, 7), Slow(), counters)
         for turn in range(60):
             captured.decide(turn * 500.0, [])
             if turn == 40:
@@ -171,14 +173,14 @@
 
 def check_against_another_text() -> None:
     """Another text on the same input: alike where it is the same, parted at the turn where it is not."""
-    played, path = Recorded(), Path(choice_module.__file__)
+    played, path = Recorded(), Path(policy_module.__file__)
     played.run((HERE / "scenarios" / "violator.txt").read_text())
     for change, parted in (("", False), ("VIOLATOR_MARK, VIOLATOR_REPORTS = 50.0", True)):
         text = path.read_text()
         if change:
             assert text.count("VIOLATOR_MARK, VIOLATOR_REPORTS = 1.5") == 1
             text = text.replace("VIOLATOR_MARK, VIOLATOR_REPORTS = 1.5", change)
-        other = Path(tempfile.mkdtemp()) / "choice.py"
+        other = Path(tempfile.mkdtemp()) / "policy.py"
         other.write_text(text)
         against = Against(load_text(str(other)))
         against.play(played.records[0])
@@ -259,4 +261,93 @@
     assert refused > 50 and unharmed > 10, (refused, unharmed)
 
 
+OUTER_KINDS = {
+    "ByHand": "out shares criticality",
+    "FleetNews": "form listings",
+    "TimerDue": "handle",
+    "ProbeResult": "backend outcome took load",
+    "PeerNote": "peer content",
+    "ProxyJoined": "proxy first_time",
+    "ProxyLeft": "proxy",
+    "TriesReport": "zone backend total aborted took span load",
+    "ProxyLoad": "proxy method total unanswered span",
+    "SliceHeat": "slice method total unanswered span",
+    "Leased": "slice given",
+    "StoredLine": "slice backend weight",
+    "SealConfirmed": "proxy seal took",
+    "ChannelState": "free unknown broken",
+    "OutStands": "backend out",
+    "SetLine": "slice backend weight",
+    "ClearTable": "slice",
+    "BindProxy": "slice proxy",
+    "ShutOut": "backend out",
+    "SetLevel": "methods slice level retry",
+    "Seal": "number everyone",
+    "Wake": "delay handle",
+    "Probe": "backend",
+    "TellPeers": "peer content",
+    "Say": "text",
+    "FollowList": "on",
+    "FetchList": "",
+    "RepeatCall": "seal",
+    "Forget": "backend",
+    "Listing": "backend zone cell phase started size",
+    "Method": "soft_deadline deadline criticality",
+    "SiteTerms": (
+        "methods sliced one_owner news_on_request sizes_told levels report_every channel_rate"
+        " head_lines pending_max pushes_allowed update_window warm_up transit_max proxies"
+    ),
+}
+OUTER_ENUMS = {
+    "Phase": "gone ready draining",
+    "Form": "delta full cached missed",
+    "Outcome": "ok aborted pushed_back late unreachable broken",
+    "Retry": "0 1 2 3",
+}
+OUTER_HOLDERS = {"Histogram": 2, "Lowest": 1, "Channel": 3}  # number of slots
+OUTER_OBJECTS = {"b": 31, "s": 13, "p": 4}  # number of fields
+OUTER_STATE = (
+    "dice soft ranks by_hand shares backends slices proxies dirty levels_due now fold_at round_at"
+    " wake_at cool_until plan_worst follow_at untold untold_at joined_at clear_at horizon spans"
+    " usual good fair stress let plan seal channel way said owed"
+)
+
+
+def check_outer_names() -> None:
+    """A rename in the code changes none of the names that captures, replays and counters show, nor their order."""
+    assert {name: " ".join(kind.fields) for name, kind in KINDS.items()} == OUTER_KINDS
+    assert list(KINDS) == list(OUTER_KINDS)
+    assert {
+        name: " ".join(str(member.value) for member in kind) for name, kind in ENUMS.items()
+    } == OUTER_ENUMS
+    assert {name: len(slots) for name, (_, slots) in HOLDERS.items()} == OUTER_HOLDERS
+    assert {tag: len(fields(kind)) for tag, (kind, _, _) in NAMED.items()} == OUTER_OBJECTS
+    assert " ".join(STATE) == OUTER_STATE
+    for name, kind in KINDS.items():
+        assert outer_name(kind.type) == name
+    # The names as they are written, not only as the table has them.
+    played = Recorded()
+    played.run((HERE / "scenarios" / "violator.txt").read_text())
+    frame = next(record for record in reversed(played.records[0]) if record[0] == "k")
+    _, terms, _, (form, own, objects) = frame
+    assert form == 2 and terms[:2] == ["o", "SiteTerms"] and " ".join(own) == OUTER_STATE
+    assert own["channel"][:2] == ["h", "Channel"] and own["way"][:2] == ["o", "ChannelState"]
+    assert {one[0]: len(one) - 2 for one in objects} == OUTER_OBJECTS
+    backend = next(one for one in objects if one[0] == "b")
+    assert [value[1] for value in backend if isinstance(value, list)][:2] == ["Phase", "Phase"]
+    holders = [value[1] for value in backend if isinstance(value, list) and value[0] == "h"]
+    assert holders == ["Lowest", "Histogram"]
+    told = {event[1] for record in played.records[0] if record[0] == "t" for event in record[4]}
+    assert told == {
+        "FleetNews",
+        "Leased",
+        "ProxyJoined",
+        "SealConfirmed",
+        "SliceHeat",
+        "StoredLine",
+        "TimerDue",
+        "TriesReport",
+    }, told
+
+
 CHECKS = {name[6:]: check for name, check in list(globals().items()) if name.startswith("check_")}
--- a/tests/play/network.py
+++ b/tests/play/network.py
@@ -17,25 +17,25 @@
 from random import Random
 from types import SimpleNamespace
 
-from lifthinge import interface
 from lifthinge.interface import (
     Backend,
     ChannelState,
     FleetNews,
-    Leased,
     Proxy,
-    Retry,
-    SetLine,
+    RetryMode,
+    SetEntry,
     Slice,
-    StoredLine,
+    SliceLeaseChanged,
+    StoredEntry,
 )
 from lifthinge.memory.books import Books
 from lifthinge.memory.counters import Counters, Notices
 from lifthinge.memory.deadlines import Deadlines
 from lifthinge.memory.slots import Slots
+from lifthinge.outer_names import KINDS, outer_name
 from lifthinge.service.controller import Controller
 from lifthinge.service.environment import Place
-from lifthinge.terms import read_map, read_terms
+from lifthinge.settings import read_layout, read_settings
 
 SITE = {
     "Balancers": 2,
@@ -88,10 +88,10 @@
             raise RuntimeError("as the scenario says")
         orders = self.due.pop(0) if self.due else []
         for one in rest + orders:  # the present state, as the decisions keep it
-            if isinstance(one, Leased):
-                one.slice.lines = {}
-            elif isinstance(one, (StoredLine, SetLine)):
-                one.slice.lines[one.backend] = one.weight
+            if isinstance(one, SliceLeaseChanged):
+                one.slice.table = {}
+            elif isinstance(one, (StoredEntry, SetEntry)):
+                one.slice.table[one.backend] = one.weight
         return orders
 
 
@@ -99,15 +99,15 @@
     """An event as words: its kind, then its fields with backends, slices and proxies by their ids."""
     if isinstance(event, FleetNews):
         return " ".join(
-            ["FleetNews", event.form.value]
+            ["FleetNews", event.kind.value]
             + [
-                f"{one.backend.name}:{one.phase.value}:{one.zone}:{one.started:g}:{one.size:g}"
+                f"{one.backend.name}:{one.phase.value}:{one.zone}:{one.started_at_ms:g}:{one.size:g}"
                 for one in event.listings
             ]
         )
     values = [getattr(event, field.name) for field in fields(event)]
     return " ".join(
-        [type(event).__name__]
+        [outer_name(type(event))]
         + [
             one.name
             if isinstance(one, Backend)
@@ -304,8 +304,10 @@
             Slots(int(sockets)),
             Random(7),
         )
-        site = read_map(self.site)
-        peer_listen, peers = (own, (own, self.udp[0].getsockname())) if site.peers else (None, ())
+        site = read_layout(self.site)
+        peer_listen, peers = (
+            (own, (own, self.udp[0].getsockname())) if site.has_peers else (None, ())
+        )
         place = Place(
             "n0",
             ("127.0.0.1", 0),
@@ -318,7 +320,7 @@
             int(sockets),
             192.0,
             self.known,
-            read_terms(self.site),
+            read_settings(self.site),
             site,
         )
         self.controller = Controller(place, books, self.script)
@@ -355,22 +357,22 @@
         }
         for one in " ".join(words).split(", ") if words else ():
             name, *args = one.split()
-            kind = getattr(interface, name)
+            kind, attributes = KINDS[name]
             values = [
-                kinds[f.name](arg)
-                if f.name in kinds and arg != "all"
+                kinds[field](arg)
+                if field in kinds and arg != "all"
                 else None
                 if arg == "all"
                 else unescape([arg])
-                if f.name == "content"
+                if field == "content"
                 else arg
-                if f.name == "text"
-                else Retry(int(arg))
-                if f.name == "retry"
+                if field == "text"
+                else RetryMode(int(arg))
+                if field == "retry"
                 else tuple(json.loads(arg))
-                if f.name == "methods"
+                if field == "methods"
                 else json.loads(arg)
-                for f, arg in zip(fields(kind), args)
+                for field, arg in zip(attributes, args)
             ]
             orders.append(kind(*values))
         self.script.due.append(orders)
--- a/tests/play/stage.py
+++ b/tests/play/stage.py
@@ -29,56 +29,57 @@
 
 from dataclasses import replace
 
-from lifthinge.choice import Choice
 from lifthinge.interface import (
+    AttemptReport,
     Backend,
     BindProxy,
-    ByHand,
     ChannelState,
     ClearTable,
     FleetNews,
-    FollowList,
-    Forget,
-    Form,
-    Leased,
+    FleetNewsKind,
+    FollowFleetList,
+    ForgetBackend,
     Listing,
+    LogDecision,
     Method,
-    OutStands,
+    OperatorOverrides,
     Phase,
     Proxy,
     ProxyJoined,
     ProxyLeft,
     RepeatCall,
-    Retry,
-    Say,
+    RetryMode,
     Seal,
     SealConfirmed,
-    SetLevel,
-    SetLine,
-    ShutOut,
-    SiteTerms,
+    SetAdmissionLevel,
+    SetEntry,
+    SetTimer,
+    SetWithdrawn,
+    SiteSettings,
     Slice,
-    SliceHeat,
-    StoredLine,
+    SliceHeatReport,
+    SliceLeaseChanged,
+    StoredEntry,
     TimerDue,
-    TriesReport,
-    Wake,
+    WithdrawalState,
 )
+from lifthinge.outer_names import KINDS
+from lifthinge.policy import Policy
 
-TERMS = SiteTerms(
+TERMS = SiteSettings(
     methods=(Method(1500.0, 5000.0, 1.0), Method(800.0, 2000.0, 3.0)),
     sliced=True,
-    one_owner=False,
+    has_single_owner=False,
     news_on_request=False,
-    sizes_told=True,
-    levels="ratio",
-    report_every=1000.0,
-    channel_rate=5.0,
-    head_lines=10.0,
-    pending_max=7500.0,
-    pushes_allowed=0,
-    update_window=10000.0,
-    warm_up=16000.0,
+    uses_listed_sizes=True,
+    admission_mode="ratio",
+    report_interval_ms=1000.0,
+    channel_entries_per_ms=5.0,
+    message_overhead_entries=10.0,
+    max_pending_entries=7500.0,
+    max_pushes_per_window=0,
+    push_window_ms=10000.0,
+    warm_up_ms=16000.0,
 )
 
 
@@ -86,7 +87,7 @@
     """One instance, the canned events still to come, and what its orders add up to."""
 
     def __init__(self) -> None:
-        self.terms, self.now, self.choice = TERMS, 0.0, None
+        self.terms, self.now, self.policy = TERMS, 0.0, None
         self.names: dict = {}
         self.reports: dict = {}
         self.due: list = []
@@ -94,10 +95,10 @@
         self.reborn()
 
     def reborn(self) -> None:
-        self.choice, self.joined, self.tables, self.out, self.levels = None, {}, {}, set(), {}
+        self.policy, self.joined, self.tables, self.out, self.levels = None, {}, {}, set(), {}
         self.said, self.sent, self.followed, self.bound, self.waiting = [], 0, 0, set(), {}
         self.forgotten: set[Backend] = set()
-        self.next_report, self.due = self.now + self.terms.report_every, []
+        self.next_report, self.due = self.now + self.terms.report_interval_ms, []
         self.state, self.repeats, self.sealed, self.free_at, self.last = None, 0, 0, self.now, 0.0
         self.told: dict[Proxy, set[Backend]] = {}  # withdrawn backends, as far as a proxy was told
 
@@ -109,21 +110,25 @@
 
     def tell(self, *events: object) -> None:
         """Hands over one batch and takes in its orders."""
-        if self.choice is None:
-            self.choice = Choice(self.terms, 7)
+        if self.policy is None:
+            self.policy = Policy(self.terms, 7)
         lines, marks = 0, []
-        for order in self.choice.decide(self.now, [self.state, *events] if self.state else events):
-            lines += isinstance(order, (SetLine, ShutOut, SetLevel, ClearTable, Seal))
+        for order in self.policy.decide(self.now, [self.state, *events] if self.state else events):
+            lines += isinstance(
+                order, (SetEntry, SetWithdrawn, SetAdmissionLevel, ClearTable, Seal)
+            )
             self.take(order)
             marks += [order.number] if isinstance(order, Seal) else []
         for number in marks:
             self.sealed = number
-            self.last = lines + self.terms.head_lines
+            self.last = lines + self.terms.message_overhead_entries
             self.waiting[number] = self.last * len(self.joined)
             if self.confirming == "paced":  # one proxy's message after the other
                 self.free_at = max(self.free_at, self.now)
                 for place, proxy in enumerate(self.joined, 1):
-                    self.free_at += (lines + self.terms.head_lines) / self.terms.channel_rate
+                    self.free_at += (
+                        lines + self.terms.message_overhead_entries
+                    ) / self.terms.channel_entries_per_ms
                     self.due.append(
                         (
                             self.free_at + 100.0,
@@ -143,32 +148,32 @@
             )
 
     def take(self, order: object) -> None:
-        if isinstance(order, SetLine):
+        if isinstance(order, SetEntry):
             self.names.setdefault((Slice, str(order.slice.number)), order.slice)
             table = self.tables.setdefault(order.slice, {})
             table[order.backend] = order.weight
             if not order.weight:
                 del table[order.backend]
-        elif isinstance(order, ShutOut):
+        elif isinstance(order, SetWithdrawn):
             for backends in (self.out, *self.told.values()):
-                (backends.add if order.out else backends.discard)(order.backend)
-        elif isinstance(order, SetLevel):
-            assert order.retry <= Retry.NEVER_RAN, "an effect may come twice"
+                (backends.add if order.is_withdrawn else backends.discard)(order.backend)
+        elif isinstance(order, SetAdmissionLevel):
+            assert order.retry <= RetryMode.NEVER_RAN, "an effect may come twice"
             for slice_ in [order.slice] if order.slice else self.tables:
                 self.levels.update({(slice_, k): min(order.level, 1.0) for k in order.methods})
-        elif isinstance(order, Wake):
-            self.due.append((self.now + order.delay, [TimerDue(order.handle)], 0))
-        elif isinstance(order, Say):
+        elif isinstance(order, SetTimer):
+            self.due.append((self.now + order.delay_ms, [TimerDue(order.handle)], 0))
+        elif isinstance(order, LogDecision):
             self.said.append(order.text)
-        elif isinstance(order, Forget):
+        elif isinstance(order, ForgetBackend):
             assert not any(order.backend in table for table in self.tables.values()), (
                 "a table names it"
             )
             self.forgotten.add(order.backend)
-        self.followed += isinstance(order, FollowList)
+        self.followed += isinstance(order, FollowFleetList)
         self.repeats += isinstance(order, RepeatCall)
         self.bound |= {order.proxy} if isinstance(order, BindProxy) else set()
-        self.sent += isinstance(order, (SetLine, ShutOut, SetLevel))
+        self.sent += isinstance(order, (SetEntry, SetWithdrawn, SetAdmissionLevel))
 
     def play_to(self, until: float) -> None:
         while True:
@@ -177,7 +182,7 @@
                 break
             self.now = at
             if at == self.next_report:
-                self.next_report += self.terms.report_every
+                self.next_report += self.terms.report_interval_ms
                 self.tell(*(make() for make in self.reports.values()))
                 continue
             entry = min(self.due, key=lambda one: one[0])
@@ -196,10 +201,13 @@
 
     def do_terms(self, *pairs: str) -> None:
         values = dict(pair.split("=") for pair in pairs)
+        attributes = KINDS["SiteTerms"].fields
         self.terms = replace(
             self.terms,
             **{
-                key: value if key == "levels" else type(getattr(TERMS, key))(float(value))
+                attributes[key]: value
+                if key == "levels"
+                else type(getattr(TERMS, attributes[key]))(float(value))
                 for key, value in values.items()
             },
         )
@@ -211,7 +219,7 @@
         facts = dict(pair.split("=") for pair in pairs)
         self.tell(
             FleetNews(
-                Form.DELTA,
+                FleetNewsKind.DELTA,
                 [
                     Listing(
                         self.name(Backend, one),
@@ -230,7 +238,7 @@
         shares = dict(part.split(":") for part in parts if ":" in part)
         worth = dict(part.split("=") for part in parts if "=" in part)
         self.tell(
-            ByHand(
+            OperatorOverrides(
                 [self.name(Backend, one) for one in out.split(",") if one != "-"],
                 {int(zone): float(share) for zone, share in shares.items()},
                 {int(method): float(one) for method, one in worth.items()},
@@ -238,7 +246,7 @@
         )
 
     def do_missed(self) -> None:
-        self.tell(FleetNews(Form.MISSED, []))
+        self.tell(FleetNews(FleetNewsKind.MISSED, []))
 
     def do_fleet(self, *names: str) -> None:
         for place, name in enumerate(names):
@@ -267,44 +275,44 @@
         self.tables[slice_] = dict(pairs)
         self.levels = {key: level for key, level in self.levels.items() if key[0] is not slice_}
         self.tell(
-            Leased(slice_, True),
-            *(StoredLine(slice_, backend, weight) for backend, weight in pairs),
+            SliceLeaseChanged(slice_, True),
+            *(StoredEntry(slice_, backend, weight) for backend, weight in pairs),
         )
 
     def do_taken(self, number: str) -> None:
         self.tables.pop(self.name(Slice, number), None)
-        self.tell(Leased(self.name(Slice, number), False))
+        self.tell(SliceLeaseChanged(self.name(Slice, number), False))
 
     def do_heard(self, name: str, total: str, aborted: str, took: str) -> None:
-        self.reports["heard", name] = lambda: TriesReport(
+        self.reports["heard", name] = lambda: AttemptReport(
             0,
             self.name(Backend, name),
             int(total),
             int(aborted),
             float(took),
-            self.terms.report_every,
+            self.terms.report_interval_ms,
             (),
         )
 
     def do_once(self, name: str, total: str, aborted: str, took: str) -> None:
         self.tell(
-            TriesReport(
+            AttemptReport(
                 0,
                 self.name(Backend, name),
                 int(total),
                 int(aborted),
                 float(took),
-                self.terms.report_every,
+                self.terms.report_interval_ms,
                 (),
             )
         )
 
     def do_heat(self, number: str, total: str, periods: str = "1") -> None:
-        span = self.terms.report_every * int(periods)
+        span = self.terms.report_interval_ms * int(periods)
         self.reports["heat", number] = lambda: (
             TimerDue(0)
             if self.now % span
-            else SliceHeat(self.name(Slice, number), 0, int(total), 0, span)
+            else SliceHeatReport(self.name(Slice, number), 0, int(total), 0, span)
         )
 
     def do_confirm(self, word: str) -> None:
@@ -314,7 +322,7 @@
         backend = self.name(Backend, name)
         for backends in (self.out, *self.told.values()):
             backends.discard(backend)
-        self.tell(OutStands(backend, False))
+        self.tell(WithdrawalState(backend, False))
 
     def do_channel(self, state: str) -> None:
         self.state = ChannelState(
@@ -355,7 +363,7 @@
 
     def do_forgot(self, name: str) -> None:
         assert self.name(Backend, name) in self.forgotten, "it is kept"
-        assert self.name(Backend, name) not in self.choice.backends, "the decisions keep it"
+        assert self.name(Backend, name) not in self.policy.backends, "the decisions keep it"
 
     def do_in(self, name: str) -> None:
         assert self.name(Backend, name) not in self.out, "it is out"
