--- a/lifthinge/cli/common.py
+++ b/lifthinge/cli/common.py
@@ -58,7 +58,7 @@
     from lifthinge.cluster.client import AgreedClient
     from lifthinge.cluster.keys import KeyFile, NoKeys, read_keys
     from lifthinge.operators import split_address
-    from lifthinge.service.run import make_books
+    from lifthinge.service.run import make_runtime
 
     part = need(path).agreed
     if part is None:
@@ -68,11 +68,11 @@
         stop(f"{path}: agreed.key_file: {keys.path}: {keys.why}")
 
     async def run() -> T:
-        books = make_books(time.time_ns(), 256)
+        runtime = make_runtime(time.time_ns(), 256)
         members = {name: split_address(one) for name, one in part.members.items()}
-        client = AgreedClient(books, members, part.cluster, "cli", KeyFile(part.key_file, keys))
+        client = AgreedClient(runtime, members, part.cluster, "cli", KeyFile(part.key_file, keys))
         try:
-            return await use(client, books.now + wait_ms)
+            return await use(client, runtime.now + wait_ms)
         finally:
             client.close()
 
--- a/lifthinge/cli/members.py
+++ b/lifthinge/cli/members.py
@@ -23,7 +23,7 @@
     async def use(client, until):
         reports = {}
         for name, where in client.members.items():
-            link = await call(client.books, where, client.cluster, client.name, client.keys)
+            link = await call(client.runtime, where, client.cluster, client.name, client.keys)
             report = await link.ask(talk.Status(), 2_000.0) if link else None
             if link:
                 link.close()
--- a/lifthinge/cluster/client.py
+++ b/lifthinge/cluster/client.py
@@ -11,7 +11,7 @@
 from lifthinge.cluster.link import Link
 from lifthinge.cluster.talk import Sorry
 from lifthinge.memory.attempts import Failure
-from lifthinge.memory.books import Books
+from lifthinge.memory.runtime import Runtime
 from lifthinge.wire.connection import connect
 
 ANSWER_WAIT = 10_000.0  # ms for one answer, beyond the member's own limit
@@ -22,8 +22,8 @@
 class Call:
     """One connection to one member, and the asks under way on it."""
 
-    def __init__(self, books: Books, link: Link) -> None:
-        self.books, self.link = books, link
+    def __init__(self, runtime: Runtime, link: Link) -> None:
+        self.runtime, self.link = runtime, link
         self._number = 0
         self._waiting: dict[int, asyncio.Future] = {}
         self.told: asyncio.Queue | None = None  # what comes after the first answer of a Follow
@@ -53,7 +53,9 @@
         if not self.link.say(talk.pack(number, what)):
             self._waiting.pop(number, None)
             return None
-        deadline = self.books.deadlines.set(wait, lambda: future.done() or future.set_result(None))
+        deadline = self.runtime.deadlines.set(
+            wait, lambda: future.done() or future.set_result(None)
+        )
         try:
             return await future
         finally:
@@ -64,30 +66,32 @@
         self.link.abort()
 
 
-async def call(books: Books, where: Address, cluster: str, name: str, keys: KeyFile) -> Call | None:
+async def call(
+    runtime: Runtime, where: Address, cluster: str, name: str, keys: KeyFile
+) -> Call | None:
     """A connection to a member, both sides known; None if there is none to be had."""
 
     def make() -> Link:
-        link = Link(books, lambda role: keys.now(), cluster, name, role="client", dials="member")
+        link = Link(runtime, lambda role: keys.now(), cluster, name, role="client", dials="member")
         link.opened = lambda link: met.done() or met.set_result(True)
         link.closed = lambda link: met.done() or met.set_result(False)
         return link
 
     met = asyncio.get_running_loop().create_future()
-    link = await connect(books, make, where)
+    link = await connect(runtime, make, where)
     if isinstance(link, Failure):
         return None
-    return Call(books, link) if await met else None
+    return Call(runtime, link) if await met else None
 
 
 class AgreedClient:
     """Goes from member to member until one answers; `members` are addresses by name, as the asker reaches them."""
 
     def __init__(
-        self, books: Books, members: dict[str, Address], cluster: str, name: str, keys: KeyFile
+        self, runtime: Runtime, members: dict[str, Address], cluster: str, name: str, keys: KeyFile
     ) -> None:
-        self.books, self.members, self.cluster, self.name, self.keys = (
-            books,
+        self.runtime, self.members, self.cluster, self.name, self.keys = (
+            runtime,
             members,
             cluster,
             name,
@@ -110,9 +114,9 @@
             self._at = hint
         if self._call is None or self._call.link.lost:
             if not hint:
-                self._at = self.books.dice.choice(sorted(self.members))
+                self._at = self.runtime.rng.choice(sorted(self.members))
             self._call = await call(
-                self.books, self.members[self._at], self.cluster, self.name, self.keys
+                self.runtime, self.members[self._at], self.cluster, self.name, self.keys
             )
         return self._call
 
@@ -122,10 +126,10 @@
         What took no effect, or takes it once however often it is sent, is sent again.
         """
         hint, failed, last = "", 0, None
-        while self.books.now < until:
+        while self.runtime.now < until:
             self.tries += 1
             link = await self._reach(hint)
-            wait = max(until - self.books.now, 1.0)
+            wait = max(until - self.runtime.now, 1.0)
             reply = await link.ask(what, min(wait, ANSWER_WAIT)) if link is not None else None
             if reply is not None and not (isinstance(reply, Sorry) and reply.why in _ELSEWHERE):
                 return reply
@@ -134,8 +138,8 @@
             if reply is None or not hint:
                 self.close()
             if failed > 1 or not hint:
-                await self.books.pause(
-                    min(ASIDE[0] * failed, ASIDE[1]) * (0.5 + self.books.dice.random())
+                await self.runtime.pause(
+                    min(ASIDE[0] * failed, ASIDE[1]) * (0.5 + self.runtime.rng.random())
                 )
         return last
 
@@ -144,7 +148,7 @@
     ) -> Accepted | Outdated | Unusable | Sorry | None:
         """Proposes a document in place of version `on`; takes effect once, however often it is sent."""
         if not self.session:
-            opened = await self.ask(talk.Begin(self.books.dice.randbytes(8)), until)
+            opened = await self.ask(talk.Begin(self.runtime.rng.randbytes(8)), until)
             if not isinstance(opened, Opened):
                 return opened
             self.session, self.number = opened.session, 0
--- a/lifthinge/cluster/follower.py
+++ b/lifthinge/cluster/follower.py
@@ -8,7 +8,7 @@
 from lifthinge.cluster import talk
 from lifthinge.cluster.client import Call, call
 from lifthinge.cluster.keys import KeyFile
-from lifthinge.memory.books import Books
+from lifthinge.memory.runtime import Runtime
 
 log = logging.getLogger(__name__)
 ANSWER_WAIT = 1_500.0  # ms until a member that says nothing is left for another
@@ -22,15 +22,15 @@
 
     def __init__(
         self,
-        books: Books,
+        runtime: Runtime,
         members: dict[str, tuple[str, int]],
         cluster: str,
         name: str,
         keys: KeyFile,
         told: Callable[[talk.Shown], None],
     ) -> None:
-        self.books, self.members, self.cluster, self.name, self.keys = (
-            books,
+        self.runtime, self.members, self.cluster, self.name, self.keys = (
+            runtime,
             members,
             cluster,
             name,
@@ -42,11 +42,11 @@
 
     async def run(self) -> None:
         """Follows for good: from one member until it is no longer current, then from another."""
-        names, place = sorted(self.members), self.books.dice.randrange(len(self.members))
+        names, place = sorted(self.members), self.runtime.rng.randrange(len(self.members))
         while True:
             place += 1
             self._call = await call(
-                self.books,
+                self.runtime,
                 self.members[names[place % len(names)]],
                 self.cluster,
                 self.name,
@@ -56,17 +56,17 @@
                 await self._follow(self._call)
                 self._call.close()
             if self.current:
-                self.books.notices.note(
+                self.runtime.rate_limited_log.warning(
                     "agreed_lost", member=names[place % len(names)], version_held=self.fence.held[1]
                 )
             self.current = False
-            await self.books.pause(self.books.dice.uniform(*ASIDE))
+            await self.runtime.pause(self.runtime.rng.uniform(*ASIDE))
 
     async def _follow(self, link: Call) -> None:
         link.told = asyncio.Queue(TOLD_MOST)
         reply = await link.ask(talk.Follow(self.fence.held), ANSWER_WAIT)
         if not isinstance(reply, talk.Shown):
-            self.books.counters.add("agreed.turned_away")
+            self.runtime.counters.add("agreed.turned_away")
             return
         self.current = True
         self._take(reply)
@@ -80,7 +80,7 @@
     async def _look(self, link: Call) -> None:
         """Ends the connection once the member does not answer, or hears no majority itself."""
         while True:
-            await self.books.pause(LOOK_EVERY)
+            await self.runtime.pause(LOOK_EVERY)
             report = await link.ask(talk.Status(), ANSWER_WAIT)
             if not isinstance(report, talk.Report) or not report.ready or not report.in_touch:
                 link.close()
@@ -90,10 +90,10 @@
         if not one.version:
             return
         if self.fence.admit(one.term, one.index):
-            self.books.counters.add("agreed.taken")
+            self.runtime.counters.add("agreed.taken")
             self.told(one)
         else:
-            self.books.counters.add("agreed.fenced")
+            self.runtime.counters.add("agreed.fenced")
 
     def close(self) -> None:
         if self._call is not None:
--- a/lifthinge/cluster/link.py
+++ b/lifthinge/cluster/link.py
@@ -17,7 +17,7 @@
     sign,
     talk_of,
 )
-from lifthinge.memory.books import Books
+from lifthinge.memory.runtime import Runtime
 from lifthinge.wire.connection import Connection
 
 HELLO_WAIT = 1_000.0  # ms from connecting until both hellos have come
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        books: Books,
+        runtime: Runtime,
         keys: Callable[[str], Keys],
         cluster: str,
         name: str,
@@ -41,7 +41,7 @@
         dials: str = "",
         expects: str = "",
     ) -> None:
-        super().__init__(books, FRAME_MOST + HEAD)
+        super().__init__(runtime, FRAME_MOST + HEAD)
         self.keys, self.cluster, self.name, self.role, self.dials = keys, cluster, name, role, dials
         self.expects = expects  # who must answer; empty: whoever holds the key
         self.hello: Hello | None = None  # ours
@@ -55,23 +55,23 @@
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
-        self._deadline = self.books.deadlines.set(HELLO_WAIT, self._late)
+        self._deadline = self.runtime.deadlines.set(HELLO_WAIT, self._late)
         if self.dials:
             self._say_hello(self.role, self.expects)
 
     def _late(self) -> None:
         if self._sealer is None:
-            self.books.notices.note("link_no_hello", peer=self.dials or "inbound")
+            self.runtime.rate_limited_log.warning("link_no_hello", peer=self.dials or "inbound")
             self.abort()
-        elif self.books.now - self.heard_at > SILENT_MOST:
-            self.books.notices.note("link_silent", peer=self.other.sender)
+        elif self.runtime.now - self.heard_at > SILENT_MOST:
+            self.runtime.rate_limited_log.warning("link_silent", peer=self.other.sender)
             self.abort()
         else:
-            self._deadline = self.books.deadlines.set(SILENT_MOST / 2, self._late)
+            self._deadline = self.runtime.deadlines.set(SILENT_MOST / 2, self._late)
 
     def _say_hello(self, role: str, receiver: str) -> None:
         keys = self.keys(role)
-        nonce = self.books.dice.randbytes(NONCE)
+        nonce = self.runtime.rng.randbytes(NONCE)
         self.hello = Hello(FORM, self.cluster, self.name, receiver, role, keys.signing, nonce)
         frame = sign(self.hello, keys.by_id[keys.signing])
         self.write(len(frame).to_bytes(HEAD, "big") + frame)
@@ -125,7 +125,7 @@
         return None
 
     def _refuse(self, why: str) -> None:
-        self.books.notices.note(
+        self.runtime.rate_limited_log.warning(
             "link_refused", why=why, peer=self.other.sender if self.other else "unknown"
         )
         self.abort()
@@ -140,7 +140,7 @@
         ):
             return False
         if self.transport.get_write_buffer_size() > OUTBOX_MOST:
-            self.books.counters.add("link.outbox_full")
+            self.runtime.counters.add("link.outbox_full")
             return False
         self.write(self._sealer.seal(body))
         return True
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -19,7 +19,7 @@
 from lifthinge.cluster.link import Link
 from lifthinge.cluster.talk import Sorry
 from lifthinge.memory.attempts import Failure
-from lifthinge.memory.books import Books
+from lifthinge.memory.runtime import Runtime
 from lifthinge.raft import messages
 from lifthinge.raft.messages import Entry, Kind, Snapshot
 from lifthinge.raft.node import NEVER, Pace, Raft, Refused, Role, Why
@@ -66,9 +66,11 @@
 class MemberServer:
     """Owns one member; `fatal` is called with the reason once it can't go on."""
 
-    def __init__(self, seat: Seat, books: Books, disk: Disk, fatal: Callable[[str], None]) -> None:
-        self.seat, self.books, self.fatal = seat, books, fatal
-        self.raft = Raft(seat.name, books.dice, books.now, disk.image.saved(), seat.pace)
+    def __init__(
+        self, seat: Seat, runtime: Runtime, disk: Disk, fatal: Callable[[str], None]
+    ) -> None:
+        self.seat, self.runtime, self.fatal = seat, runtime, fatal
+        self.raft = Raft(seat.name, runtime.rng, runtime.now, disk.image.saved(), seat.pace)
         self.state = Agreed()
         self.committer = Committer(disk, self._durable, lambda error: self._fail(f"disk: {error}"))
         self.ready = False  # it has applied what was committed when it first asked
@@ -161,12 +163,12 @@
                 return
             self._tick.cancel()
         if due < NEVER:
-            self._tick = self.books.deadlines.set(due - self.books.now, self._ticked)
+            self._tick = self.runtime.deadlines.set(due - self.runtime.now, self._ticked)
 
     def _ticked(self) -> None:
         if self._over:
             return
-        self.raft.tick(self.books.now)
+        self.raft.tick(self.runtime.now)
         self._turn()
 
     def _look_around(self) -> None:
@@ -177,7 +179,7 @@
             if one.name != self.seat.name:
                 self._reach(one.name)
         self._note_touch()
-        self.books.deadlines.set(self.seat.pace.election, self._look_around)
+        self.runtime.deadlines.set(self.seat.pace.election, self._look_around)
 
     def _durable(self, number: int) -> None:
         if not self._over:
@@ -204,7 +206,7 @@
             self.removed = False
 
     def _note_touch(self) -> None:
-        touch = self.raft.in_touch(self.books.now, TOUCH_LEAST * self.seat.pace.election)
+        touch = self.raft.in_touch(self.runtime.now, TOUCH_LEAST * self.seat.pace.election)
         if touch != self.in_touch:
             self.in_touch = touch
             log.log(
@@ -246,7 +248,7 @@
         if due < 1 or due < SNAPSHOT_LATEST and self.raft.sending_snapshot:
             return
         if self.raft.compact(self.state.index, self.state.export()):
-            self.books.counters.add("member.snapshots")
+            self.runtime.counters.add("member.snapshots")
             self._wake()
 
     def _press_reads(self) -> None:
@@ -285,12 +287,12 @@
         if self.ready or self._over:
             return
         if not self._catching_up and not isinstance(
-            self.raft.read("catch-up", self.books.now), Refused
+            self.raft.read("catch-up", self.runtime.now), Refused
         ):
             self._catching_up = True
-            self.books.deadlines.set(READ_WAIT, self._catch_up_late)
+            self.runtime.deadlines.set(READ_WAIT, self._catch_up_late)
             self._wake()
-        self.books.deadlines.set(CATCH_UP_EVERY, self._catch_up)
+        self.runtime.deadlines.set(CATCH_UP_EVERY, self._catch_up)
 
     def _catch_up_late(self) -> None:
         if self._catching_up:
@@ -316,9 +318,9 @@
             ]  # a newcomer knows nobody's address yet: it answers where it was asked
         if link is not None and not link.lost:
             if link.say(messages.encode(message)):
-                self.books.counters.add("member.sent")
+                self.runtime.counters.add("member.sent")
             else:
-                self.books.counters.add("member.unsent")
+                self.runtime.counters.add("member.unsent")
             return
         self._reach(to)
         if to in self._dialling:
@@ -330,7 +332,7 @@
         if (
             to not in self._dialling
             and to not in self._out
-            and self.books.now >= self._dial_wait.get(to, 0.0)
+            and self.runtime.now >= self._dial_wait.get(to, 0.0)
         ):
             self._dialling.add(to)
             task = asyncio.get_running_loop().create_task(self._dial(to))
@@ -351,26 +353,26 @@
             address = member.address.rsplit(":", 1) if member else None
             found = (
                 await connect(
-                    self.books, lambda: self._link(dials=to), (address[0], int(address[1]))
+                    self.runtime, lambda: self._link(dials=to), (address[0], int(address[1]))
                 )
                 if address
                 else None
             )
             if found is None or isinstance(found, Failure):
-                self.books.counters.add("member.unreachable")
+                self.runtime.counters.add("member.unreachable")
                 self._redial_later(to)
         except (ValueError, IndexError):
-            self.books.notices.note("member_address_bad", member=to)
+            self.runtime.rate_limited_log.warning("member_address_bad", member=to)
             self._redial_later(to)
 
     def _redial_later(self, to: str) -> None:
         self._dialling.discard(to)
         self._kept.pop(to, None)
-        self._dial_wait[to] = self.books.now + self.books.dice.uniform(*REDIAL)
+        self._dial_wait[to] = self.runtime.now + self.runtime.rng.uniform(*REDIAL)
 
     def _link(self, dials: str = "") -> Link:
         link = Link(
-            self.books,
+            self.runtime,
             self.seat.keys,
             self.seat.cluster,
             self.seat.name,
@@ -383,7 +385,7 @@
     def _accept(self) -> Link:
         link = self._link()
         if len(self._in) >= CLIENTS_MOST:
-            self.books.notices.note("member_full")
+            self.runtime.rate_limited_log.warning("member_full")
             asyncio.get_running_loop().call_soon(link.abort)
         self._in[link] = None
         return link
@@ -392,7 +394,7 @@
         if link.dials:
             self._out[link.dials] = link
             self._dialling.discard(link.dials)
-            self.books.counters.add("member.links")
+            self.runtime.counters.add("member.links")
             for message in self._kept.pop(link.dials, ()):
                 link.say(messages.encode(message))
         elif link.other.role == "member":
@@ -418,14 +420,16 @@
             else:
                 message = messages.decode(body)
         except (msgspec.ValidationError, msgspec.DecodeError) as error:
-            self.books.notices.note("member_bad_message", peer=link.other.sender, why=str(error))
+            self.runtime.rate_limited_log.warning(
+                "member_bad_message", peer=link.other.sender, why=str(error)
+            )
             link.abort()
             return
         if link.other.role == "client":
             self._asked(link, number, ask)
         else:
             try:
-                self.raft.step(link.other.sender, message, self.books.now)
+                self.raft.step(link.other.sender, message, self.runtime.now)
             except (
                 AssertionError
             ) as error:  # a promise of the protocol is broken: nothing may build on it
@@ -446,7 +450,7 @@
             link.say(talk.pack(number, self._report()))
             return
         if self._each.get(link, 0) >= ASKS_EACH or self._asks >= ASKS_MOST:
-            self.books.counters.add("member.busy")
+            self.runtime.counters.add("member.busy")
             link.say(talk.pack(number, Sorry(Why.BUSY.value, **self._leader())))
             return
         if type(what) is talk.Follow:
@@ -457,23 +461,23 @@
             return
         self._each[link] = self._each.get(link, 0) + 1
         self._asks += 1
-        ask.deadline = self.books.deadlines.set(
+        ask.deadline = self.runtime.deadlines.set(
             READ_WAIT if type(what) in (talk.Show, talk.History) else ASK_WAIT,
             lambda: self._given_up(ask),
         )
         if type(what) in (talk.Show, talk.History):
             self._reads[ask] = what
-            self._settle(ask, self.raft.read(ask, self.books.now))
+            self._settle(ask, self.raft.read(ask, self.runtime.now))
         elif type(what) is talk.HandOver:
-            refused = self.raft.hand_over(what.target, self.books.now)
+            refused = self.raft.hand_over(what.target, self.runtime.now)
             self._settle(ask, refused) if refused else self._answer(
                 ask, talk.Done(self.raft.commit)
             )
         elif type(what) is talk.Change:
-            self._settle(ask, self.raft.change(what.name, what.address, self.books.now))
+            self._settle(ask, self.raft.change(what.name, what.address, self.runtime.now))
         elif type(what) is talk.Begin:
             self._settle(
-                ask, self.raft.propose(pack_command(OpenSession(what.nonce)), self.books.now)
+                ask, self.raft.propose(pack_command(OpenSession(what.nonce)), self.runtime.now)
             )
         else:
             self._propose(ask, what)
@@ -491,7 +495,7 @@
         if isinstance(found, Fault):
             self._answer(ask, Sorry(f"{found.key}: {found.why}", **self._leader()))
         else:
-            self._settle(ask, self.raft.propose(pack_command(what), self.books.now))
+            self._settle(ask, self.raft.propose(pack_command(what), self.runtime.now))
 
     def _settle(self, ask: _Ask, came: int | Refused | None) -> None:
         """What the protocol made of an ask: an index to wait for, a refusal, or (a read) nothing yet."""
@@ -511,7 +515,7 @@
             if (left := [one for one in asks if one is not ask])
         }
         self._to_apply = [one for one in self._to_apply if one[1] is not ask]
-        self.books.counters.add("member.given_up")
+        self.runtime.counters.add("member.given_up")
         self._answer(ask, Sorry("no answer in time", may_have_run=ask.sent, **self._leader()))
 
     def _answer(self, ask: _Ask, reply: talk.Reply) -> None:
@@ -521,7 +525,7 @@
             self._asks -= 1
             if ask.link in self._each:
                 self._each[ask.link] -= 1
-        self.books.counters.add(f"member.answers.{type(reply).__name__}")
+        self.runtime.counters.add(f"member.answers.{type(reply).__name__}")
         ask.link.say(talk.pack(ask.number, reply))
 
     # Front ends.
@@ -553,7 +557,7 @@
                 link.abort()  # too slow for its own good: it asks anew, and hears the latest
 
     def _report(self) -> talk.Report:
-        raft, now = self.raft, self.books.now
+        raft, now = self.raft, self.runtime.now
         views = []
         for one in raft.log.roster.members:
             seen = raft.progress.get(one.name)
--- a/lifthinge/lab/raftbench.py
+++ b/lifthinge/lab/raftbench.py
@@ -105,13 +105,13 @@
     """Each proposer waits for its answer before it proposes again; what is answered went through the log."""
     waits: list[float] = []
     clients = [drill.client(f"p{number}") for number in range(proposers)]
-    end = drill.books.now + seconds * 1000.0
+    end = drill.runtime.now + seconds * 1000.0
     packed = msgspec.msgpack.encode(body)
 
     async def one(client) -> None:
         opened = await client.ask(talk.Begin(b"n"), end + 5_000.0)
         number = 0
-        while drill.books.now < end:
+        while drill.runtime.now < end:
             number += 1
             began = time.perf_counter()
             reply = await client.ask(
--- a/lifthinge/lab/raftdrill.py
+++ b/lifthinge/lab/raftdrill.py
@@ -26,7 +26,7 @@
 from lifthinge.cluster.keys import KeyFile, read_keys
 from lifthinge.lab.cuts import Way
 from lifthinge.lab.linear import Seen, misorder
-from lifthinge.service.run import make_books
+from lifthinge.service.run import make_runtime
 
 ELECTION, BEAT = 300.0, 50.0
 PROPOSERS, READERS, FRONT_ENDS = 4, 2, 3
@@ -49,7 +49,7 @@
 
     def __init__(self, size: int, seconds: float, seed: int, folder: Path, quiet: bool) -> None:
         self.dice, self.seconds, self.folder, self.quiet = Random(seed), seconds, folder, quiet
-        self.books = make_books(seed, 4_096)
+        self.runtime = make_runtime(seed, 4_096)
         self.cuts: set[tuple[str, str]] = set()
         self.names = list(NAMES[:size])
         self.ways: dict[str, Way] = {}
@@ -70,7 +70,7 @@
 
     def say(self, *words: Any) -> None:
         if not self.quiet:
-            print(f"{self.books.now % 1e7 / 1000:10.2f}", *words, file=sys.stderr, flush=True)
+            print(f"{self.runtime.now % 1e7 / 1000:10.2f}", *words, file=sys.stderr, flush=True)
 
     # Members.
 
@@ -137,14 +137,14 @@
             process.wait(20)
 
     def client(self, name: str) -> AgreedClient:
-        return AgreedClient(self.books, self.addresses, "drill", name, self.watch_keys)
+        return AgreedClient(self.runtime, self.addresses, "drill", name, self.watch_keys)
 
     async def reports(self, wait: float = 300.0) -> dict[str, talk.Report]:
         async def one(name: str) -> talk.Report | None:
             link = self.watched.get(name)
             if link is None or link.link.lost:
                 link = await call(
-                    self.books, self.addresses[name], "drill", "watch", self.watch_keys
+                    self.runtime, self.addresses[name], "drill", "watch", self.watch_keys
                 )
                 if link is None:
                     return None
@@ -166,9 +166,9 @@
             document = {
                 "backends": [{"id": f"s-{dice.randrange(20)}", "reason": mark, "until": 0.0}]
             }
-            asked = self.books.now
+            asked = self.runtime.now
             reply = await client.propose(document, on, mark, time.time() * 1000.0, asked + 15_000.0)
-            answered = self.books.now
+            answered = self.runtime.now
             if isinstance(reply, Accepted):
                 on = reply.version
                 self.history.append(Seen(asked, answered, reply.version, True))
@@ -179,22 +179,22 @@
             else:
                 self.unknown += 1
                 client.session = 0  # its fate is unknown: a new number would pass it by
-                shown = await client.ask(talk.Show(), self.books.now + 5_000.0)
+                shown = await client.ask(talk.Show(), self.runtime.now + 5_000.0)
                 on = shown.version if isinstance(shown, talk.Shown) else on
-            await self.books.pause(dice.uniform(0, 30))
+            await self.runtime.pause(dice.uniform(0, 30))
         client.close()
 
     async def reader(self, number: int) -> None:
         client = self.client(f"r{number}")
         while not self.over:
-            asked = self.books.now
+            asked = self.runtime.now
             reply = await client.ask(talk.Show(), asked + 5_000.0)
             if isinstance(reply, talk.Shown):
                 self.reads += 1
-                self.history.append(Seen(asked, self.books.now, reply.version, False))
+                self.history.append(Seen(asked, self.runtime.now, reply.version, False))
             if self.dice.random() < 0.2:
                 client.close()  # goes to another next
-            await self.books.pause(self.dice.uniform(0, 40))
+            await self.runtime.pause(self.dice.uniform(0, 40))
         client.close()
 
     async def front_end(self, number: int) -> None:
@@ -203,28 +203,28 @@
         while not self.over:
             name = self.dice.choice(self.names)
             link = await call(
-                self.books, self.addresses[name], "drill", f"f{number}", self.watch_keys
+                self.runtime, self.addresses[name], "drill", f"f{number}", self.watch_keys
             )
             if link is None:
-                await self.books.pause(100.0)
+                await self.runtime.pause(100.0)
                 continue
             link.told = asyncio.Queue(1_000)
             reply = await link.ask(talk.Follow(fence.held), 1_000.0)
-            until = self.books.now + self.dice.uniform(500, 3_000)
+            until = self.runtime.now + self.dice.uniform(500, 3_000)
             while isinstance(reply, talk.Shown) and not self.over:
                 if reply.version and fence.admit(reply.term, reply.index):
                     self.follows += 1
                     self.went_back += (reply.term, reply.index) < at
                     at = reply.term, reply.index
                     self.obeyed.setdefault((reply.version, reply.index), set()).add(reply.digest)
-                if self.books.now > until:
+                if self.runtime.now > until:
                     break
                 try:
                     reply = await asyncio.wait_for(link.told.get(), 0.5)
                 except TimeoutError:
                     pass
             link.close()
-            await self.books.pause(50.0)
+            await self.runtime.pause(50.0)
 
     async def watch(self) -> None:
         """How long nobody leads a majority, as seen by asking all."""
@@ -233,10 +233,10 @@
             reports = await self.reports()
             leads = [one for one in reports.values() if one.role == "leader" and one.in_touch]
             if leads and lost_at is not None:
-                self.leaderless.append(self.books.now - lost_at)
+                self.leaderless.append(self.runtime.now - lost_at)
                 lost_at = None
             elif not leads and lost_at is None:
-                lost_at = self.books.now
+                lost_at = self.runtime.now
             await asyncio.sleep(WATCH)
 
     # Failures.
@@ -255,11 +255,11 @@
             (2, self.act_change),
             (2, self.act_transfer),
         ]
-        end = self.books.now + self.seconds * 1000.0
-        while self.books.now < end:
+        end = self.runtime.now + self.seconds * 1000.0
+        while self.runtime.now < end:
             act = self.dice.choices([act for _, act in acts], [weight for weight, _ in acts])[0]
             await act()
-            await self.books.pause(1000.0 * self.dice.uniform(*EVERY))
+            await self.runtime.pause(1000.0 * self.dice.uniform(*EVERY))
             if self.dice.random() < 0.6:
                 await self.mend()
 
@@ -366,7 +366,7 @@
         client = self.client("change")
         if len(self.names) > 3 and self.dice.random() < 0.5:
             name = self.dice.choice(self.names)
-            reply = await client.ask(talk.Change(name), self.books.now + 3_000.0)
+            reply = await client.ask(talk.Change(name), self.runtime.now + 3_000.0)
             if isinstance(reply, talk.Done):
                 self.say("removed", name)
                 self.changes += 1
@@ -380,7 +380,7 @@
             self.start(name)
             self.names.append(name)
             reply = await client.ask(
-                talk.Change(name, self.outside[name]), self.books.now + 3_000.0
+                talk.Change(name, self.outside[name]), self.runtime.now + 3_000.0
             )
             if isinstance(reply, talk.Done):
                 self.say("added", name)
@@ -396,7 +396,9 @@
     async def act_transfer(self) -> None:
         client = self.client("transfer")
         self.transfers += isinstance(
-            await client.ask(talk.HandOver(self.dice.choice(self.names)), self.books.now + 1_000.0),
+            await client.ask(
+                talk.HandOver(self.dice.choice(self.names)), self.runtime.now + 1_000.0
+            ),
             talk.Done,
         )
         client.close()
@@ -431,8 +433,8 @@
                 way.close()
 
     async def _until_led(self, wait: float) -> None:
-        end = self.books.now + wait * 1000.0
-        while self.books.now < end:
+        end = self.runtime.now + wait * 1000.0
+        while self.runtime.now < end:
             if any(
                 one.role == "leader" and one.in_touch for one in (await self.reports()).values()
             ):
@@ -441,9 +443,9 @@
 
     async def judge(self) -> dict[str, Any]:
         """What was promised, held against what the members hold."""
-        end, digests, commits = self.books.now + SETTLE * 1000.0, set(), set()
+        end, digests, commits = self.runtime.now + SETTLE * 1000.0, set(), set()
         reports: dict[str, talk.Report] = {}
-        while self.books.now < end:
+        while self.runtime.now < end:
             reports = await self.reports(1_000.0)
             members = {
                 one.name
@@ -524,7 +526,7 @@
         """All versions kept, from who leads; sessions of before are gone by, as the folder keeps the latest."""
         client, found, since = self.client("judge"), {}, 0
         while True:
-            reply = await client.ask(talk.History(since), self.books.now + 10_000.0)
+            reply = await client.ask(talk.History(since), self.runtime.now + 10_000.0)
             if not isinstance(reply, talk.Versions) or not reply.versions:
                 client.close()
                 return found
--- a/lifthinge/memory/attempts.py
+++ b/lifthinge/memory/attempts.py
@@ -4,38 +4,38 @@
 from enum import Enum
 
 
-class Reach(Enum):
+class SendProgress(Enum):
     """How much of a request is known to have gone out."""
 
     NOT_SENT = "not_sent"
-    PARTLY = "partly"
-    WHOLLY = "wholly"
+    PARTLY_SENT = "partly"
+    FULLY_SENT = "wholly"
     ANSWERED = "answered"
 
 
-class Cause(Enum):
+class FailureCause(Enum):
     REFUSED = "refused"
     UNREACHABLE = "unreachable"
     LATE = "late"
     BROKEN = "broken"
-    UNREADABLE = "unreadable"
-    NO_ROOM = "no_room"
-    MOVED = "moved"  # the partner is to be found elsewhere
-    RENEWED = "renewed"  # asked for anew
+    INVALID_RESPONSE = "unreadable"
+    NO_CAPACITY = "no_room"
+    ADDRESS_CHANGED = "moved"  # the partner is to be found elsewhere
+    RESUBSCRIBED = "renewed"  # asked for anew
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
     """An attempt that brought no answer; it may have been acted on if it was sent wholly."""
 
-    reach: Reach
-    cause: Cause
+    reach: SendProgress
+    cause: FailureCause
     detail: str = ""
 
     @property
     def may_have_run(self) -> bool:
         """
-        >>> [Failure(reach, Cause.BROKEN).may_have_run for reach in Reach]
+        >>> [Failure(reach, FailureCause.BROKEN).may_have_run for reach in SendProgress]
         [False, False, True, True]
         """
-        return self.reach in (Reach.WHOLLY, Reach.ANSWERED)
+        return self.reach in (SendProgress.FULLY_SENT, SendProgress.ANSWERED)
--- a/lifthinge/memory/counters.py
+++ b/lifthinge/memory/counters.py
@@ -1,9 +1,9 @@
 """Counters of what is taken in, sent and answered, and log lines limited in rate.
 
 >>> counters = Counters()
->>> counters.add("report.tries"); counters.add("report.tries", 2); counters.most("calls.open", 4)
->>> counters.most("calls.open", 3)
->>> counters.fields()
+>>> counters.add("report.tries"); counters.add("report.tries", 2); counters.record_max("calls.open", 4)
+>>> counters.record_max("calls.open", 3)
+>>> counters.as_dict()
 {'calls.open': 4, 'report.tries': 3}
 """
 
@@ -21,7 +21,7 @@
     def add(self, name: str, by: int = 1) -> None:
         self._values[name] = self._values.get(name, 0) + by
 
-    def most(self, name: str, value: float) -> None:
+    def record_max(self, name: str, value: float) -> None:
         """Keeps the highest value seen."""
         if value > self._values.get(name, 0):
             self._values[name] = value
@@ -29,20 +29,20 @@
     def get(self, name: str) -> float:
         return self._values.get(name, 0)
 
-    def fields(self) -> dict[str, float]:
+    def as_dict(self) -> dict[str, float]:
         return dict(sorted(self._values.items()))
 
 
-class Notices:
+class RateLimitedLog:
     """Counts each kind of trouble, and logs it once a second at most, with how many it stands for.
 
     >>> now, counters = [0.0], Counters()
     >>> class Lines(list):
     ...     warning = lambda self, event, fields: self.append((event, fields))
-    >>> notices = Notices(Lines(), counters, lambda: now[0])
-    >>> notices.note("bad_message", why="a"); notices.note("bad_message", why="b")
-    >>> now[0] = 1500.0; notices.note("bad_message", why="c")
-    >>> notices.log, counters.fields()
+    >>> rate_limited_log = RateLimitedLog(Lines(), counters, lambda: now[0])
+    >>> rate_limited_log.warning("bad_message", why="a"); rate_limited_log.warning("bad_message", why="b")
+    >>> now[0] = 1500.0; rate_limited_log.warning("bad_message", why="c")
+    >>> rate_limited_log.log, counters.as_dict()
     ([('bad_message', {'why': 'a'}), ('bad_message', {'why': 'c', 'more': 1})], {'bad_message': 3})
     """
 
@@ -54,7 +54,7 @@
             str, tuple[float, int]
         ] = {}  # event: when logged, and how many kept back since
 
-    def note(self, event: str, **fields: Any) -> None:
+    def warning(self, event: str, **fields: Any) -> None:
         self.counters.add(event)
         at, kept_back = self._last.get(event, (float("-inf"), 0))
         if self.now() - at < self.EVERY:
--- a/lifthinge/memory/deadlines.py
+++ b/lifthinge/memory/deadlines.py
@@ -2,15 +2,15 @@
 
 >>> from types import SimpleNamespace
 >>> clock, fired, timers = SimpleNamespace(now=0.0), [], []
->>> table = Deadlines(lambda: clock.now, lambda delay, run: timers.append(delay) or SimpleNamespace(
+>>> table = DeadlineTable(lambda: clock.now, lambda delay, run: timers.append(delay) or SimpleNamespace(
 ...     cancel=lambda: None))
 >>> late, soon = table.set(50.0, lambda: fired.append("late")), table.set(20.0, lambda: fired.append("soon"))
 >>> timers, len(table)
 ([50.0, 20.0], 2)
 >>> clock.now = 30.0
->>> table.run(); fired, soon.pending, late.pending
+>>> table.run_due(); fired, soon.is_pending, late.is_pending
 (['soon'], False, True)
->>> late.cancel(); clock.now = 90.0; table.run(); fired, len(table)
+>>> late.cancel(); clock.now = 90.0; table.run_due(); fired, len(table)
 (['soon'], 0)
 """
 
@@ -34,7 +34,7 @@
         self.action: Callable[[], Any] | None = action
 
     @property
-    def pending(self) -> bool:
+    def is_pending(self) -> bool:
         return self.action is not None
 
     def cancel(self) -> None:
@@ -46,7 +46,7 @@
         return (self.at, self.order) < (other.at, other.order)
 
 
-class Deadlines:
+class DeadlineTable:
     """`now` gives milliseconds; `schedule(delay, run)` arms the one timer and gives what cancels it."""
 
     def __init__(
@@ -57,7 +57,7 @@
         self._dead = self._count = 0
         self._timer: Any = None
         self._armed_for = float("inf")
-        self.latest = 0.0  # the longest that any was run after its time
+        self.max_lateness_ms = 0.0  # the longest that any was run after its time
 
     def __len__(self) -> int:
         return len(self._heap) - self._dead
@@ -73,16 +73,18 @@
         """Takes the cancelled out once they are the greater part."""
         self._dead += 1
         if self._dead * 2 > len(self._heap):
-            self._heap = [one for one in self._heap if one.pending]
+            self._heap = [one for one in self._heap if one.is_pending]
             heapq.heapify(self._heap)
             self._dead = 0
 
-    def run(self) -> None:
+    def run_due(self) -> None:
         """Runs what is due; an action that fails takes nothing else with it."""
         self._armed_for, now = float("inf"), self.now()
         while self._heap and self._heap[0].at <= now:
             deadline = heapq.heappop(self._heap)
-            self.latest = max(self.latest, now - deadline.at if deadline.pending else 0.0)
+            self.max_lateness_ms = max(
+                self.max_lateness_ms, now - deadline.at if deadline.is_pending else 0.0
+            )
             action, deadline.action = deadline.action, None
             if action is None:
                 self._dead -= 1
@@ -98,4 +100,4 @@
             if self._timer is not None:
                 self._timer.cancel()
             self._armed_for = self._heap[0].at
-            self._timer = self._schedule(max(self._armed_for - self.now(), 0.0), self.run)
+            self._timer = self._schedule(max(self._armed_for - self.now(), 0.0), self.run_due)
--- a/lifthinge/memory/stand.py
+++ b/lifthinge/memory/initial_state.py
@@ -10,29 +10,29 @@
     SliceLeaseChanged,
     StoredEntry,
 )
-from lifthinge.memory.calls import Calls
-from lifthinge.memory.world import World
+from lifthinge.memory.pending_orders import PendingOrders
+from lifthinge.memory.registry import Registry
 
 WEIGHT_NEAR = 1e-4, 0.001  # of a weight, and beyond: weights are told to three places
 
 
-class Stand:
+class InitialState:
     """Joined proxies, slices in charge, and their lines, as a stream opens with them."""
 
-    def __init__(self, calls: Calls) -> None:
-        self._calls, self._since = (
-            calls,
-            calls.settled,
+    def __init__(self, pending_orders: PendingOrders) -> None:
+        self._pending_orders, self._since = (
+            pending_orders,
+            pending_orders.settled_count,
         )  # orders settled since may show in it, or not
-        self.joined: dict[Proxy, ProxyJoined] = {}
+        self.joined_proxies: dict[Proxy, ProxyJoined] = {}
         self.lines: dict[Slice, dict[Backend, float]] = {}
 
-    def take(self, event: Event) -> None:
+    def apply(self, event: Event) -> None:
         """Takes in what stands, and what changes while it is being told."""
         if isinstance(event, ProxyJoined):
-            self.joined[event.proxy] = event
+            self.joined_proxies[event.proxy] = event
         elif isinstance(event, ProxyLeft):
-            self.joined.pop(event.proxy, None)
+            self.joined_proxies.pop(event.proxy, None)
         elif isinstance(event, SliceLeaseChanged):
             self.lines.pop(event.slice, None)
             if event.is_granted:
@@ -40,18 +40,26 @@
         elif isinstance(event, StoredEntry):
             self.lines.setdefault(event.slice, {})[event.backend] = event.weight
 
-    def difference(self, world: World) -> list[Event]:
+    def difference(self, registry: Registry) -> list[Event]:
         """What vanished, what is new, and tables that differ though no order has touched them meanwhile."""
-        told: list[Event] = [ProxyLeft(proxy) for proxy in world.joined if proxy not in self.joined]
+        told: list[Event] = [
+            ProxyLeft(proxy)
+            for proxy in registry.joined_proxies
+            if proxy not in self.joined_proxies
+        ]
         told += [
             event
-            for proxy, event in self.joined.items()
-            if proxy not in world.joined or event.first_time and not world.joined[proxy]
+            for proxy, event in self.joined_proxies.items()
+            if proxy not in registry.joined_proxies
+            or event.first_time
+            and not registry.joined_proxies[proxy]
+        ]
+        told += [
+            SliceLeaseChanged(one, False) for one in registry.leased_slices if one not in self.lines
         ]
-        told += [SliceLeaseChanged(one, False) for one in world.held if one not in self.lines]
         for one, lines in self.lines.items():
-            touched = self._calls.touched(one, self._since)
-            if one not in world.held or not touched and not _same(one.table, lines):
+            touched = self._pending_orders.has_orders_since(one, self._since)
+            if one not in registry.leased_slices or not touched and not _same(one.table, lines):
                 told.append(SliceLeaseChanged(one, True))
                 told += [StoredEntry(one, backend, weight) for backend, weight in lines.items()]
         return told
--- a/lifthinge/memory/world.py
+++ b/lifthinge/memory/registry.py
@@ -1,11 +1,11 @@
 """The world by its ids: backends, slices and proxies, each one object for as long as anything names it.
 
->>> world = World()
->>> one = world.backend("s-a"); one.is_withdrawn = True; world.forget(one); world.backends
+>>> registry = Registry()
+>>> one = registry.backend("s-a"); one.is_withdrawn = True; registry.forget(one); registry.backends
 {}
->>> world.backend("s-a") is one, world.backend("s-a").is_withdrawn, world.backend("s-b").is_withdrawn
+>>> registry.backend("s-a") is one, registry.backend("s-a").is_withdrawn, registry.backend("s-b").is_withdrawn
 (False, True, False)
->>> world.listed[world.backend("s-b")] = None; world.forget(world.backend("s-b")); list(world.backends)
+>>> registry.listings[registry.backend("s-b")] = None; registry.forget(registry.backend("s-b")); list(registry.backends)
 ['s-a', 's-b']
 """
 
@@ -20,17 +20,17 @@
 
 
 @dataclass(eq=False, slots=True)
-class World:
+class Registry:
     """What ids mean here, and what stands as last told to the decisions."""
 
     backends: dict[str, Backend] = field(default_factory=dict)
     addresses: dict[Backend, tuple[str, int]] = field(default_factory=dict)
-    listed: dict[Backend, Listing] = field(default_factory=dict)  # not gone
+    listings: dict[Backend, Listing] = field(default_factory=dict)  # not gone
     version: int = -1
     slices: dict[int, Slice] = field(default_factory=dict)
-    held: dict[Slice, None] = field(default_factory=dict)  # in this controller's charge
+    leased_slices: dict[Slice, None] = field(default_factory=dict)  # in this controller's charge
     proxies: dict[int, Proxy] = field(default_factory=dict)
-    joined: dict[Proxy, bool] = field(default_factory=dict)  # whether each came fresh
+    joined_proxies: dict[Proxy, bool] = field(default_factory=dict)  # whether each came fresh
     withdrawn: dict[str, None] = field(default_factory=dict)  # ids forgotten, oldest first
 
     def backend(self, name: str) -> Backend | None:
@@ -44,7 +44,7 @@
 
     def forget(self, backend: Backend) -> None:
         """Keeps nothing of a backend but that it is withdrawn, unless it has been listed meanwhile."""
-        if backend in self.listed or self.backends.get(backend.backend_id) is not backend:
+        if backend in self.listings or self.backends.get(backend.backend_id) is not backend:
             return
         del self.backends[backend.backend_id]
         self.addresses.pop(backend, None)
--- a/lifthinge/memory/books.py
+++ b/lifthinge/memory/runtime.py
@@ -5,28 +5,28 @@
 from random import Random
 from typing import Any
 
-from lifthinge.memory.counters import Counters, Notices
-from lifthinge.memory.deadlines import Deadline, Deadlines
-from lifthinge.memory.slots import Slots
+from lifthinge.memory.counters import Counters, RateLimitedLog
+from lifthinge.memory.deadlines import Deadline, DeadlineTable
+from lifthinge.memory.slots import SlotPool
 
 
 @dataclass(eq=False, slots=True)
-class Request:
+class PendingRequest:
     """A request that waits for its answer, as its connection's owner sees it."""
 
-    asked_at: float
+    sent_at: float
     future: asyncio.Future
     deadline: Deadline
 
 
 @dataclass(eq=False, slots=True)
-class Books:
-    deadlines: Deadlines
+class Runtime:
+    deadlines: DeadlineTable
     counters: Counters
-    notices: Notices
-    connections: Slots[Any]
-    requests: Slots[Request]
-    dice: Random
+    rate_limited_log: RateLimitedLog
+    connections: SlotPool[Any]
+    requests: SlotPool[PendingRequest]
+    rng: Random
 
     @property
     def now(self) -> float:
--- a/lifthinge/memory/slots.py
+++ b/lifthinge/memory/slots.py
@@ -1,6 +1,6 @@
 """Numbered slots with generations: what is kept of connections and requests.
 
->>> slots = Slots(2)
+>>> slots = SlotPool(2)
 >>> a, b = slots.put("a"), slots.put("b")
 >>> slots.put("c") is None, len(slots), slots.get(a)
 (True, 2, 'a')
@@ -17,7 +17,7 @@
 _BITS = 16
 
 
-class Slots(Generic[T]):
+class SlotPool(Generic[T]):
     """At most `limit` items; a handle is of one item for good, though its slot is used again."""
 
     def __init__(self, limit: int) -> None:
--- a/lifthinge/service/agreed.py
+++ b/lifthinge/service/agreed.py
@@ -11,8 +11,8 @@
 from lifthinge.cluster.follower import AgreedFollower
 from lifthinge.cluster.keys import KeyFile, NoKeys, read_keys
 from lifthinge.interface import Event, OperatorOverrides
-from lifthinge.memory.books import Books
-from lifthinge.memory.world import World
+from lifthinge.memory.registry import Registry
+from lifthinge.memory.runtime import Runtime
 from lifthinge.operators import AgreedPart, split_address
 from lifthinge.settings import SiteLayout
 
@@ -26,22 +26,22 @@
         self,
         part: AgreedPart,
         name: str,
-        books: Books,
-        world: World,
+        runtime: Runtime,
+        registry: Registry,
         site: SiteLayout,
         tell: Callable[[list[Event]], None],
         keys: KeyFile,
     ) -> None:
-        self.books, self.world, self.site, self.tell = books, world, site, tell
+        self.runtime, self.registry, self.site, self.tell = runtime, registry, site, tell
         self.document: Document | None = None
         self._deadline: Any = None
         members = {member: split_address(address) for member, address in part.members.items()}
-        self.follower = AgreedFollower(books, members, part.cluster, name, keys, self._told)
+        self.follower = AgreedFollower(runtime, members, part.cluster, name, keys, self._told)
 
     def _told(self, one: talk.Shown) -> None:
         found = read_document(msgspec.msgpack.decode(one.body))
         if isinstance(found, Fault):
-            self.books.notices.note(
+            self.runtime.rate_limited_log.warning(
                 "agreed_unusable", version=one.version, key=found.key, why=found.why
             )
             return
@@ -60,19 +60,19 @@
 
     def event(self) -> OperatorOverrides:
         """What the document says now, in objects; names that this deployment does not know mean nothing to it."""
-        document, now = self.document or Document(), self.books.now
+        document, now = self.document or Document(), self.runtime.now
         out = [one for one in document.backends if not one.until or one.until > now]
         later = [one.until for one in out if one.until]
         if self._deadline is not None:
             self._deadline.cancel()
         self._deadline = (
-            self.books.deadlines.set(min(later) - now, lambda: self.tell([self.event()]))
+            self.runtime.deadlines.set(min(later) - now, lambda: self.tell([self.event()]))
             if later
             else None
         )
         zones, methods = self.site.zones, self.site.methods
         return OperatorOverrides(
-            [found for one in out if (found := self.world.backend(one.id))],
+            [found for one in out if (found := self.registry.backend(one.id))],
             {zones.index(one.name): one.share for one in document.zones if one.name in zones},
             {
                 methods.index(one.name): one.criticality
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -32,9 +32,9 @@
     TimerDue,
     WithdrawalState,
 )
-from lifthinge.memory.books import Books
-from lifthinge.memory.calls import Calls
-from lifthinge.memory.world import World
+from lifthinge.memory.pending_orders import PendingOrders
+from lifthinge.memory.registry import Registry
+from lifthinge.memory.runtime import Runtime
 from lifthinge.outer_names import outer_name
 from lifthinge.service.environment import BadStart, Place, unfollowed
 from lifthinge.wire.collectors import Reception
@@ -74,31 +74,37 @@
 class Controller:
     """Owns everything that belongs to one controller; settings say what of it exists."""
 
-    def __init__(self, place: Place, books: Books, policy: Decider) -> None:
-        self.place, self.books, self.policy, self.world, self.calls = (
+    def __init__(self, place: Place, runtime: Runtime, policy: Decider) -> None:
+        self.place, self.runtime, self.policy, self.registry, self.pending_orders = (
             place,
-            books,
+            runtime,
             policy,
-            World(),
-            Calls(),
+            Registry(),
+            PendingOrders(),
+        )
+        self.door = Door(place.site, self.registry)
+        self.reception = Reception(
+            runtime, self.door, _inbound(place), lambda: self.ready, self.tell
         )
-        self.door = Door(place.site, self.world)
-        self.reception = Reception(books, self.door, _inbound(place), lambda: self.ready, self.tell)
         self.relay = Relay(
-            books,
+            runtime,
             self.door,
-            self.calls,
+            self.pending_orders,
             place.relay,
             lambda: self.tell([]),
             self._refused,
             self._given_up,
         )
-        self.news = News(books, self.door, self.world, self.calls, place.relay, self._tell_news)
-        self.discovery = Discovery(books, self.door, self.world, place.discovery, self._tell_list)
+        self.news = News(
+            runtime, self.door, self.registry, self.pending_orders, place.relay, self._tell_news
+        )
+        self.discovery = Discovery(
+            runtime, self.door, self.registry, place.discovery, self._tell_list
+        )
         self.agreed: Agreement | None = None
-        self.probes = Probes(books, self.door, self.world, lambda found: self.tell([found]))
+        self.probes = Probes(runtime, self.door, self.registry, lambda found: self.tell([found]))
         self.peers = Peers(
-            books,
+            runtime,
             list(place.peers),
             place.peers_all,
             place.site.controller_number,
@@ -110,7 +116,7 @@
         self._events: list[Event] = []
         self._tasks: dict[asyncio.Task, str] = {}
         self._carry: dict[type, Callable[[Any], None]] = {
-            SetTimer: lambda o: self.books.deadlines.set(
+            SetTimer: lambda o: self.runtime.deadlines.set(
                 o.delay_ms, lambda: self.tell([TimerDue(o.handle)])
             ),
             Probe: lambda o: self.probes.probe(o.backend),
@@ -118,14 +124,14 @@
             RepeatCall: lambda o: self.relay.repeat(o.seal),
             LogDecision: lambda o: log.info("decided", {"what": o.text}),
             FollowFleetList: lambda o: self._follow(o.enabled),
-            ForgetBackend: lambda o: self.world.forget(o.backend),
+            ForgetBackend: lambda o: self.registry.forget(o.backend),
             FetchFleetList: lambda o: self._run("fetch", self.discovery.fetch),
         }
 
     async def start(self) -> None:
         found = self.discovery.known(self.place.known)
         if found:
-            self.books.notices.note("known_unusable", why=found.why)
+            self.runtime.rate_limited_log.warning("known_unusable", why=found.why)
         await self._bind("ROUTER_LISTEN", self.reception.open(self.place.listen))
         if self.place.peer_listen:
             await self._bind("peer_listen", self.peers.open(self.place.peer_listen))
@@ -135,7 +141,7 @@
             self._follow(True)
         if self.agreed is not None:
             self._run("agreed", self.agreed.follower.run)
-        self.books.deadlines.set(DISCOVERY_WAIT, self._wait_no_more)
+        self.runtime.deadlines.set(DISCOVERY_WAIT, self._wait_no_more)
 
     def agree(self, agreed: "Agreement") -> None:
         """From the start on, an agreed document is followed, too."""
@@ -158,7 +164,7 @@
             self.discovery.move(new.discovery)
             if "follow" in self._tasks.values():
                 self._run("follow", self.discovery.follow, beside=True)
-        self.books.counters.add("reloads")
+        self.runtime.counters.add("reloads")
         log.info(
             "reloaded",
             {
@@ -200,14 +206,17 @@
         """Notes what stands now, and drops the orders that died with a slice."""
         for event in events:
             if isinstance(event, ProxyJoined):
-                self.world.joined[event.proxy], event.proxy.is_bound = event.first_time, False
+                self.registry.joined_proxies[event.proxy], event.proxy.is_bound = (
+                    event.first_time,
+                    False,
+                )
             elif isinstance(event, ProxyLeft):
-                self.world.joined.pop(event.proxy, None)
+                self.registry.joined_proxies.pop(event.proxy, None)
             elif isinstance(event, SliceLeaseChanged):
-                self.calls.slice_gone(event.slice)
-                self.world.held.pop(event.slice, None)
+                self.pending_orders.discard_slice(event.slice)
+                self.registry.leased_slices.pop(event.slice, None)
                 if event.is_granted:
-                    self.world.held[event.slice] = None
+                    self.registry.leased_slices[event.slice] = None
             elif isinstance(event, SealConfirmed):
                 self.relay.confirmed(event.seal)
         self.tell(events)
@@ -225,11 +234,11 @@
 
     def _refused(self, order: Order) -> None:
         """The relay could not use an order, as it knows no such backend: the decisions hear what stands instead."""
-        if isinstance(order, SetEntry) and order.slice in self.world.held:
+        if isinstance(order, SetEntry) and order.slice in self.registry.leased_slices:
             gone = Listing(
                 order.backend, order.backend.zone, 0, Phase.GONE, 0.0, order.backend.size
             )
-            self.world.listed.pop(order.backend, None)
+            self.registry.listings.pop(order.backend, None)
             lines = [
                 StoredEntry(order.slice, backend, weight)
                 for backend, weight in order.slice.table.items()
@@ -246,8 +255,8 @@
     def _turn(self) -> None:
         events, self._events, self._turn_due = self._events, [], False
         began, way = (
-            self.books.now,
-            ChannelState(not self.calls, self.relay.unknown, self.relay.broken),
+            self.runtime.now,
+            ChannelState(not self.pending_orders, self.relay.unknown, self.relay.broken),
         )
         try:
             orders = self.policy.decide(began, [way, *events])
@@ -255,29 +264,29 @@
             Exception
         ) as error:  # what is decided next may be better; who asks hears that it is not well
             log.error("decision_failed", {"error": repr(error)}, exc_info=True)
-            self.books.counters.add("decision_failed")
+            self.runtime.counters.add("decision_failed")
             self.ready = False
-            self.books.deadlines.set(self.place.terms.report_interval_ms, lambda: self.tell([]))
+            self.runtime.deadlines.set(self.place.terms.report_interval_ms, lambda: self.tell([]))
             return
-        self.books.counters.add("decisions")
-        self.books.counters.most("decision.longest_ms", round(self.books.now - began, 1))
+        self.runtime.counters.add("decisions")
+        self.runtime.counters.record_max("decision.longest_ms", round(self.runtime.now - began, 1))
         given = [order for order in orders if self.door.is_order(order)]
         if given:
             for order in given:
-                self.books.counters.add(f"orders.{outer_name(type(order))}")
+                self.runtime.counters.add(f"orders.{outer_name(type(order))}")
             self.relay.give(given)
         for order in orders:
             if not self.door.is_order(order):
                 self._carry[type(order)](order)
         listed = self.discovery.answered or self._late or self.place.site.news_on_request
-        if not self.ready and self.news.stood and listed:
+        if not self.ready and self.news.has_initial_state and listed:
             self.ready = True
             log.info(
                 "ready",
                 {
-                    "backends": len(self.world.listed),
-                    "proxies": len(self.world.joined),
-                    "slices": len(self.world.held),
+                    "backends": len(self.registry.listings),
+                    "proxies": len(self.registry.joined_proxies),
+                    "slices": len(self.registry.leased_slices),
                 },
             )
             self.reception.answer_beats()
@@ -313,5 +322,5 @@
                 return await work()
             except Exception as error:
                 log.error("work_failed", {"work": name, "error": repr(error)}, exc_info=True)
-                self.books.counters.add("work_failed")
-            await self.books.pause(WORK_REST)
+                self.runtime.counters.add("work_failed")
+            await self.runtime.pause(WORK_REST)
--- a/lifthinge/service/member.py
+++ b/lifthinge/service/member.py
@@ -14,7 +14,7 @@
 from lifthinge.raft.messages import Member, Roster
 from lifthinge.raft.node import Pace
 from lifthinge.service import logs
-from lifthinge.service.run import BAD_START, counters, make_books
+from lifthinge.service.run import BAD_START, counters, make_runtime
 from lifthinge.store.files import Files
 from lifthinge.store.store import Damage
 
@@ -65,12 +65,14 @@
     """Serves until SIGTERM, or until the disk fails."""
     loop, over, failed = asyncio.get_running_loop(), asyncio.Event(), []
     files = _key_files(part, path)
-    books = make_books(SystemRandom().getrandbits(64), SOCKETS)
+    runtime = make_runtime(SystemRandom().getrandbits(64), SOCKETS)
 
     def keys(role: str) -> Keys:
         found = files[role].now()
         if files[role].fault:
-            books.notices.note("keys_unusable", path=files[role].path, why=files[role].fault.why)
+            runtime.rate_limited_log.warning(
+                "keys_unusable", path=files[role].path, why=files[role].fault.why
+            )
         return found
 
     def fatal(why: str) -> None:
@@ -86,11 +88,11 @@
         keys,
         part.snapshot_entries,
     )
-    member = MemberServer(seat, books, disk, fatal)
+    member = MemberServer(seat, runtime, disk, fatal)
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, over.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)  # keys are read again by themselves
-    loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("counters", counters(books)))
+    loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("counters", counters(runtime)))
     try:
         await member.start()
     except OSError as error:
@@ -111,7 +113,7 @@
     )
     await over.wait()
     await member.stop()
-    log.info("stopped", counters(books))
+    log.info("stopped", counters(runtime))
     return FAILED if failed else 0
 
 
--- a/lifthinge/service/run.py
+++ b/lifthinge/service/run.py
@@ -10,10 +10,10 @@
 from random import Random
 from typing import TYPE_CHECKING, Optional
 
-from lifthinge.memory.books import Books
-from lifthinge.memory.counters import Counters, Notices
-from lifthinge.memory.deadlines import Deadlines
-from lifthinge.memory.slots import Slots
+from lifthinge.memory.counters import Counters, RateLimitedLog
+from lifthinge.memory.deadlines import DeadlineTable
+from lifthinge.memory.runtime import Runtime
+from lifthinge.memory.slots import SlotPool
 from lifthinge.policy import Policy
 from lifthinge.service import logs
 from lifthinge.service.controller import Controller, Decider
@@ -33,28 +33,28 @@
     return lambda: (offset + time.monotonic()) * MS
 
 
-def make_books(seed: int, sockets: int) -> Books:
+def make_runtime(seed: int, sockets: int) -> Runtime:
     loop, now, counters = asyncio.get_running_loop(), unix_clock(), Counters()
-    deadlines = Deadlines(now, lambda delay, run: loop.call_later(delay / MS, run))
-    return Books(
+    deadlines = DeadlineTable(now, lambda delay, run: loop.call_later(delay / MS, run))
+    return Runtime(
         deadlines,
         counters,
-        Notices(logging.getLogger("lifthinge"), counters, now),
-        Slots(sockets * 3 // 4),
-        Slots(sockets // 2),
+        RateLimitedLog(logging.getLogger("lifthinge"), counters, now),
+        SlotPool(sockets * 3 // 4),
+        SlotPool(sockets // 2),
         Random(seed),
     )
 
 
-def counters(books: Books) -> dict[str, float]:
+def counters(runtime: Runtime) -> dict[str, float]:
     """All counters, and what the process has used so far."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return {
-        **books.counters.fields(),
+        **runtime.counters.as_dict(),
         "cpu_s": used.ru_utime + used.ru_stime,
         "memory_mb": used.ru_maxrss / 1024,
-        "loop_delay_ms": books.deadlines.latest,
-        "connections": len(books.connections),
+        "loop_delay_ms": runtime.deadlines.max_lateness_ms,
+        "connections": len(runtime.connections),
         "descriptors": len(os.listdir("/proc/self/fd")),
     }
 
@@ -64,7 +64,7 @@
     try:
         controller.reload(read_place(os.environ, anew=True))
     except BadStart as error:
-        controller.books.notices.note("reload_failed", key=error.key, why=error.why)
+        controller.runtime.rate_limited_log.warning("reload_failed", key=error.key, why=error.why)
 
 
 def turn_on(controller: Controller, operators: Optional["Operators"]) -> None:
@@ -81,8 +81,8 @@
         AgreedDoor(
             operators.agreed,
             controller.place.name,
-            controller.books,
-            controller.world,
+            controller.runtime,
+            controller.registry,
             controller.place.site,
             controller.tell,
             keys,
@@ -90,17 +90,17 @@
     )
 
 
-def decider(place: Place, books: Books, operators: Optional["Operators"]) -> Decider:
+def decider(place: Place, runtime: Runtime, operators: Optional["Operators"]) -> Decider:
     """The decisions, behind a capture where the operators' file asks for one."""
     policy = Policy(place.terms, place.seed)
     if operators is None or operators.capture is None:
         return policy
     from lifthinge.capture.capture import open_capture
 
-    part, head = operators.capture, {"name": place.name, "seed": place.seed, "life": books.now}
+    part, head = operators.capture, {"name": place.name, "seed": place.seed, "life": runtime.now}
     try:
         return open_capture(
-            policy, part.folder, part.budget_mb, part.segment_mb, head, books.counters
+            policy, part.folder, part.budget_mb, part.segment_mb, head, runtime.counters
         )
     except OSError as error:
         raise BadStart("capture.folder", f"{part.folder}: {error.strerror or error}") from None
@@ -109,14 +109,14 @@
 async def serve(place: Place, hung_up: list[int], operators: Optional["Operators"] = None) -> None:
     """Serves until SIGTERM; `hung_up` has the SIGHUPs that came before."""
     loop, over = asyncio.get_running_loop(), asyncio.Event()
-    books = make_books(place.seed, place.sockets)
-    policy = decider(place, books, operators)
-    controller = Controller(place, books, policy)
+    runtime = make_runtime(place.seed, place.sockets)
+    policy = decider(place, runtime, operators)
+    controller = Controller(place, runtime, policy)
     turn_on(controller, operators)
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, over.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: reload(controller))
-    loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("counters", counters(books)))
+    loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("counters", counters(runtime)))
     try:
         await controller.start()
         if hung_up:
@@ -128,7 +128,7 @@
         controller.stop()
         if not isinstance(policy, Policy):
             policy.close()
-    log.info("stopped", counters(books))
+    log.info("stopped", counters(runtime))
 
 
 def main(hung_up: list[int], operators: Optional["Operators"] = None) -> int:
--- a/lifthinge/wire/client.py
+++ b/lifthinge/wire/client.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import NamedTuple, Union
 
-from lifthinge.memory.attempts import Cause, Failure, Reach
-from lifthinge.memory.books import Books, Request
+from lifthinge.memory.attempts import Failure, FailureCause, SendProgress
+from lifthinge.memory.runtime import PendingRequest, Runtime
 from lifthinge.wire.connection import Connection, connect
 from lifthinge.wire.http import BODY_MOST, HEAD_MOST, AnswerParser
 
@@ -45,48 +45,50 @@
 class HttpConnection(Connection):
     """Carries one request at a time."""
 
-    def __init__(self, books: Books, kind: str) -> None:
-        super().__init__(books, BODY_MOST + HEAD_MOST)
+    def __init__(self, runtime: Runtime, kind: str) -> None:
+        super().__init__(runtime, BODY_MOST + HEAD_MOST)
         self.kind = kind
         self.parser = AnswerParser(self.buffer)
         self._request: int | None = None
-        self.used_at = books.now
+        self.used_at = runtime.now
 
     def ask(self, data: bytes, wait: float) -> "asyncio.Future[Result]":
         """Sends a request; the future brings its answer or how it failed, and never an exception."""
         future: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
-        deadline = self.books.deadlines.set(wait, lambda: self.fail(Cause.LATE))
-        self._request = self.books.requests.put(Request(self.books.now, future, deadline))
-        self.books.counters.add(f"{self.kind}.asked")
-        self.books.counters.most("requests.most", len(self.books.requests))
+        deadline = self.runtime.deadlines.set(wait, lambda: self.fail(FailureCause.LATE))
+        self._request = self.runtime.requests.put(
+            PendingRequest(self.runtime.now, future, deadline)
+        )
+        self.runtime.counters.add(f"{self.kind}.asked")
+        self.runtime.counters.record_max("requests.most", len(self.runtime.requests))
         self.parser = AnswerParser(self.buffer)
         if self._request is None:
             deadline.cancel()
-            future.set_result(Failure(Reach.NOT_SENT, Cause.NO_ROOM))
+            future.set_result(Failure(SendProgress.NOT_SENT, FailureCause.NO_CAPACITY))
         elif self.lost:
-            self._settle(Failure(Reach.NOT_SENT, Cause.BROKEN))
+            self._settle(Failure(SendProgress.NOT_SENT, FailureCause.BROKEN))
         else:
             self.write(data)
         return future
 
-    def fail(self, cause: Cause, detail: str = "") -> None:
+    def fail(self, cause: FailureCause, detail: str = "") -> None:
         """Ends the request, and the connection with it: a late answer must not pass for another's."""
-        reach = Reach.ANSWERED if cause is Cause.UNREADABLE else self.reach()
+        reach = SendProgress.ANSWERED if cause is FailureCause.INVALID_RESPONSE else self.reach()
         self.abort()
         self._settle(Failure(reach, cause, detail))
 
-    def reach(self) -> Reach:
+    def reach(self) -> SendProgress:
         """How far the request is known to have gone out."""
-        return Reach.PARTLY if self.unsent else Reach.WHOLLY
+        return SendProgress.PARTLY_SENT if self.unsent else SendProgress.FULLY_SENT
 
     def received(self) -> None:
         if self._request is None:
-            self.books.notices.note("unasked_bytes", kind=self.kind)
+            self.runtime.rate_limited_log.warning("unasked_bytes", kind=self.kind)
             self.abort()
             return
         trouble = self.parser.advance()
         if trouble:
-            self.fail(Cause.UNREADABLE, trouble)
+            self.fail(FailureCause.INVALID_RESPONSE, trouble)
         elif self.parser.done:
             self.complete()
 
@@ -97,12 +99,12 @@
         if not trouble:
             self.complete()
         elif self.parser.status:
-            self.fail(Cause.UNREADABLE, trouble)
+            self.fail(FailureCause.INVALID_RESPONSE, trouble)
         else:
-            self.fail(Cause.BROKEN, trouble)
+            self.fail(FailureCause.BROKEN, trouble)
 
     def gone(self) -> None:
-        self.fail(Cause.BROKEN)
+        self.fail(FailureCause.BROKEN)
 
     def complete(self) -> None:
         answer = Answer(self.parser.status, self.parser.take_body())
@@ -111,17 +113,19 @@
         self._settle(answer)
 
     def _settle(self, result: Result) -> None:
-        request = None if self._request is None else self.books.requests.free(self._request)
-        self._request, self.used_at = None, self.books.now
+        request = None if self._request is None else self.runtime.requests.free(self._request)
+        self._request, self.used_at = None, self.runtime.now
         if request is None:
             return
         request.deadline.cancel()
         if isinstance(result, Failure):
-            self.books.counters.add(f"{self.kind}.failed.{result.reach.value}.{result.cause.value}")
+            self.runtime.counters.add(
+                f"{self.kind}.failed.{result.reach.value}.{result.cause.value}"
+            )
         else:
-            self.books.counters.add(f"{self.kind}.answered.{result.status}")
-            self.books.counters.most(
-                f"{self.kind}.longest_ms", round(self.used_at - request.asked_at, 1)
+            self.runtime.counters.add(f"{self.kind}.answered.{result.status}")
+            self.runtime.counters.record_max(
+                f"{self.kind}.longest_ms", round(self.used_at - request.sent_at, 1)
             )
         if not request.future.done():
             request.future.set_result(result)
@@ -130,25 +134,27 @@
 class Caller:
     """Calls to one address, one at a time; `where` may change between them, or while one is under way."""
 
-    def __init__(self, books: Books, kind: str, where: tuple[str, int]) -> None:
-        self.books, self.kind, self.where = books, kind, where
+    def __init__(self, runtime: Runtime, kind: str, where: tuple[str, int]) -> None:
+        self.runtime, self.kind, self.where = runtime, kind, where
         self._kept: HttpConnection | None = None
         self._kept_where = where
 
     async def call(self, request: Callable[[tuple[str, int]], bytes], wait: float) -> Result:
         """Asks what `request` makes for the address: that of now, or the former one while only that is up."""
         kept, where = self._kept, self.where
-        if kept is not None and (kept.lost or self.books.now - kept.used_at > FRESH):
+        if kept is not None and (kept.lost or self.runtime.now - kept.used_at > FRESH):
             kept = None
             self.close()
         if kept is None or self._kept_where != where:
-            found = await connect(self.books, lambda: HttpConnection(self.books, self.kind), where)
+            found = await connect(
+                self.runtime, lambda: HttpConnection(self.runtime, self.kind), where
+            )
             if not isinstance(found, Failure):
                 self.close()
                 kept = self._kept = found
                 self._kept_where = where
             elif kept is None or kept.lost:
-                self.books.counters.add(
+                self.runtime.counters.add(
                     f"{self.kind}.failed.{found.reach.value}.{found.cause.value}"
                 )
                 return found
--- a/lifthinge/wire/collectors.py
+++ b/lifthinge/wire/collectors.py
@@ -6,8 +6,8 @@
 from enum import Enum
 
 from lifthinge.interface import Event
-from lifthinge.memory.books import Books
 from lifthinge.memory.deadlines import Deadline
+from lifthinge.memory.runtime import Runtime
 from lifthinge.outer_names import outer_name
 from lifthinge.wire import names
 from lifthinge.wire.connection import Connection
@@ -39,7 +39,7 @@
     kind = "inbound"
 
     def __init__(self, reception: "Reception") -> None:
-        super().__init__(reception.books, STRANGER_MOST + 4, STRANGER_MOST // 4)
+        super().__init__(reception.runtime, STRANGER_MOST + 4, STRANGER_MOST // 4)
         self.reception = reception
         self.state, self.zone = State.STRANGER, -1
         self.owes_beat = False
@@ -52,7 +52,7 @@
             socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER
         )
         if not self.lost:
-            self._deadline = self.books.deadlines.set(JOIN_WAIT, self._not_joined)
+            self._deadline = self.runtime.deadlines.set(JOIN_WAIT, self._not_joined)
             self.reception.came(self)
 
     def received(self) -> None:
@@ -61,18 +61,18 @@
             if message is None:
                 return
             if isinstance(message, Lost):
-                self.books.notices.note("framing_lost", why=message.why)
+                self.runtime.rate_limited_log.warning("framing_lost", why=message.why)
                 self.part()
                 return
             trouble = message if isinstance(message, Skip) else self._use(message)
             if trouble:
-                self.books.notices.note("bad_message", why=trouble.why)
+                self.runtime.rate_limited_log.warning("bad_message", why=trouble.why)
                 if self.state is State.STRANGER:
                     self.part()
 
     def ended(self) -> None:
         if len(self.buffer) and self.state is not State.PARTED:
-            self.books.notices.note("framing_lost", why="cut short")
+            self.runtime.rate_limited_log.warning("framing_lost", why="cut short")
 
     def gone(self) -> None:
         if self._deadline:
@@ -81,7 +81,7 @@
 
     def beat(self) -> None:
         self.owes_beat = False
-        self.books.counters.add("beats.answered")
+        self.runtime.counters.add("beats.answered")
         self.write(pack({names.KIND: names.BEAT_ANSWER}))
         if self._overdue:
             self._close()
@@ -89,7 +89,7 @@
     def part(self) -> None:
         """Turns away whoever may not stay: with a word to one that never joined, and at once."""
         if self.state is State.STRANGER:
-            self.books.counters.add("inbound.rejected")
+            self.runtime.counters.add("inbound.rejected")
             self.write(pack({names.KIND: names.REJECT}))
         self._close()
 
@@ -100,12 +100,12 @@
             self._deadline.cancel()
         if not self.lost:
             self.transport.close()
-            self._deadline = self.books.deadlines.set(PARTING, self.abort)
+            self._deadline = self.runtime.deadlines.set(PARTING, self.abort)
 
     def _use(self, message: dict) -> Skip | None:
         kind = message.get(names.KIND)
         if kind == names.BEAT:
-            self.books.counters.add("beats.asked")
+            self.runtime.counters.add("beats.asked")
             self.owes_beat = True
             if self.reception.ready():
                 self.beat()
@@ -121,31 +121,31 @@
             return event
         if self.state is State.STRANGER:
             return Skip("a report before the zone")
-        self.books.counters.add(f"reports.{outer_name(type(event))}")
+        self.runtime.counters.add(f"reports.{outer_name(type(event))}")
         self.reception.tell([event])
         return None
 
     def _join(self, zone: int) -> None:
         if self.state is State.STRANGER:
             self._deadline.cancel()
-            self._deadline = self.books.deadlines.set(IDLE_MOST, self._idle)
+            self._deadline = self.runtime.deadlines.set(IDLE_MOST, self._idle)
         self.state, self.zone, self.buffer.limit = State.JOINED, zone, FRAME_MOST + 4
         self.reception.collects(self)
 
     def _not_joined(self) -> None:
-        self.books.counters.add("inbound.not_joined")
+        self.runtime.counters.add("inbound.not_joined")
         self._overdue = self.owes_beat
         if self._overdue:
-            self._deadline = self.books.deadlines.set(IDLE_MOST, self.abort)
+            self._deadline = self.runtime.deadlines.set(IDLE_MOST, self.abort)
         else:
             self._close()
 
     def _idle(self) -> None:
-        rest = self.heard_at + IDLE_MOST - self.books.now
+        rest = self.heard_at + IDLE_MOST - self.runtime.now
         if rest > 0:
-            self._deadline = self.books.deadlines.set(rest, self._idle)
+            self._deadline = self.runtime.deadlines.set(rest, self._idle)
         else:
-            self.books.counters.add("inbound.silent")
+            self.runtime.counters.add("inbound.silent")
             self.abort()
 
 
@@ -154,13 +154,13 @@
 
     def __init__(
         self,
-        books: Books,
+        runtime: Runtime,
         door: Door,
         most: int,
         ready: Callable[[], bool],
         tell: Callable[[list[Event]], None],
     ) -> None:
-        self.books, self.door, self.most, self.ready, self.tell = books, door, most, ready, tell
+        self.runtime, self.door, self.most, self.ready, self.tell = runtime, door, most, ready, tell
         self._strangers: dict[Reporter, None] = {}  # oldest first
         self._joined: dict[Reporter, None] = {}
         self._server: asyncio.Server | None = None
@@ -191,7 +191,7 @@
             oldest = next((other for other in self._strangers if not other.owes_beat), None) or min(
                 self._strangers or self._joined, key=lambda other: other.heard_at
             )
-            self.books.counters.add("inbound.crowded_out")
+            self.runtime.counters.add("inbound.crowded_out")
             self.left(oldest)
             oldest.part()
         self._strangers[one] = None
@@ -205,7 +205,7 @@
         self._joined[one] = None
         same = [other for other in self._joined if other.zone == one.zone and not other.lost]
         if len(same) > COLLECTORS_MOST:
-            self.books.counters.add("inbound.crowded_out")
+            self.runtime.counters.add("inbound.crowded_out")
             min(same, key=lambda other: other.heard_at).abort()
 
     def answer_beats(self) -> None:
--- a/lifthinge/wire/connection.py
+++ b/lifthinge/wire/connection.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from lifthinge.memory.attempts import Cause, Failure, Reach
-from lifthinge.memory.books import Books
+from lifthinge.memory.attempts import Failure, FailureCause, SendProgress
+from lifthinge.memory.runtime import Runtime
 from lifthinge.wire.buffer import Buffer
 
 log = logging.getLogger(__name__)
@@ -20,13 +20,13 @@
     kind = "connection"
     unread_most = UNREAD_MOST
 
-    def __init__(self, books: Books, limit: int, first: int = 4096) -> None:
-        self.books, self.buffer = books, Buffer(limit, first)
+    def __init__(self, runtime: Runtime, limit: int, first: int = 4096) -> None:
+        self.runtime, self.buffer = runtime, Buffer(limit, first)
         self.transport: asyncio.Transport | None = None
         self.handle: int | None = None
         self.unsent = False  # bytes of ours have not left
         self.lost = False
-        self.heard_at = books.now
+        self.heard_at = runtime.now
 
     def received(self) -> None:
         raise NotImplementedError
@@ -40,11 +40,11 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
         transport.set_write_buffer_limits(high=0)
-        self.handle = self.books.connections.put(self)
-        self.books.counters.add(f"{self.kind}.opened")
-        self.books.counters.most("connections.most", len(self.books.connections))
+        self.handle = self.runtime.connections.put(self)
+        self.runtime.counters.add(f"{self.kind}.opened")
+        self.runtime.counters.record_max("connections.most", len(self.runtime.connections))
         if self.handle is None:
-            self.books.notices.note("connections_full", kind=self.kind)
+            self.runtime.rate_limited_log.warning("connections_full", kind=self.kind)
             self.abort()
 
     def get_buffer(self, sizehint: int) -> memoryview:
@@ -52,10 +52,10 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         self.buffer.wrote(nbytes)
-        self.heard_at = self.books.now
+        self.heard_at = self.runtime.now
         self._guard(self.received)
         if self.buffer.full and not self.lost:
-            self.books.notices.note("buffer_full", kind=self.kind)
+            self.runtime.rate_limited_log.warning("buffer_full", kind=self.kind)
             self.abort()
 
     def eof_received(self) -> bool:
@@ -65,7 +65,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         self.lost = True
         if self.handle is not None:
-            self.books.connections.free(self.handle)
+            self.runtime.connections.free(self.handle)
         self._guard(self.gone)
 
     def pause_writing(self) -> None:
@@ -80,7 +80,7 @@
             return
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > self.unread_most:
-            self.books.notices.note("peer_reads_nothing", kind=self.kind)
+            self.runtime.rate_limited_log.warning("peer_reads_nothing", kind=self.kind)
             self.abort()
 
     def abort(self) -> None:
@@ -93,7 +93,7 @@
         try:
             step()
         except Exception as error:  # whatever it is, it ends here, and the connection with it
-            self.books.counters.add("connection_failed")
+            self.runtime.counters.add("connection_failed")
             log.error("connection_failed", {"kind": self.kind, "error": repr(error)}, exc_info=True)
             self.abort()
 
@@ -101,24 +101,24 @@
 C = TypeVar("C", bound=Connection)
 
 
-async def connect(books: Books, make: Callable[[], C], where: tuple[str, int]) -> C | Failure:
+async def connect(runtime: Runtime, make: Callable[[], C], where: tuple[str, int]) -> C | Failure:
     """A connection that is up, or why there is none."""
     loop = asyncio.get_running_loop()
     task = loop.create_task(loop.create_connection(make, *where))
-    deadline = books.deadlines.set(CONNECT_WAIT, task.cancel)
+    deadline = runtime.deadlines.set(CONNECT_WAIT, task.cancel)
     try:
         _, connection = await task
     except asyncio.CancelledError:
-        if deadline.pending:  # it was not the deadline: this call itself is called off
+        if deadline.is_pending:  # it was not the deadline: this call itself is called off
             task.cancel()
             raise
-        return Failure(Reach.NOT_SENT, Cause.UNREACHABLE, "no connection in time")
+        return Failure(SendProgress.NOT_SENT, FailureCause.UNREACHABLE, "no connection in time")
     except ConnectionRefusedError:
-        return Failure(Reach.NOT_SENT, Cause.REFUSED)
+        return Failure(SendProgress.NOT_SENT, FailureCause.REFUSED)
     except OSError as error:
-        return Failure(Reach.NOT_SENT, Cause.UNREACHABLE, type(error).__name__)
+        return Failure(SendProgress.NOT_SENT, FailureCause.UNREACHABLE, type(error).__name__)
     finally:
         deadline.cancel()
     if connection.lost:
-        return Failure(Reach.NOT_SENT, Cause.NO_ROOM)
+        return Failure(SendProgress.NOT_SENT, FailureCause.NO_CAPACITY)
     return connection
--- a/lifthinge/wire/discovery.py
+++ b/lifthinge/wire/discovery.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 
 from lifthinge.interface import FleetNews, FleetNewsKind, Listing, Phase
-from lifthinge.memory.attempts import Cause, Failure, Reach
-from lifthinge.memory.books import Books
-from lifthinge.memory.world import World
+from lifthinge.memory.attempts import Failure, FailureCause, SendProgress
+from lifthinge.memory.registry import Registry
+from lifthinge.memory.runtime import Runtime
 from lifthinge.wire import names
 from lifthinge.wire.client import Caller, get
 from lifthinge.wire.door import Door
@@ -31,16 +31,22 @@
 
     def __init__(
         self,
-        books: Books,
+        runtime: Runtime,
         door: Door,
-        world: World,
+        registry: Registry,
         where: tuple[str, int],
         tell: Callable[[FleetNews], None],
     ) -> None:
-        self.books, self.door, self.world, self.where, self.tell = books, door, world, where, tell
+        self.runtime, self.door, self.registry, self.where, self.tell = (
+            runtime,
+            door,
+            registry,
+            where,
+            tell,
+        )
         self.answered = False  # ever
         self._watches: list[Caller] = []  # each of a line of watches, the newest last
-        self._list = Caller(books, "discovery_list", where)
+        self._list = Caller(runtime, "discovery_list", where)
         self._spoilt = False  # the last answer had entries that could not be used
         self._older = range(0)  # versions below the one held that are believed of a list
 
@@ -54,21 +60,21 @@
 
     async def follow(self) -> None:
         """Watches for good: for sites that push, or once a subscription has been asked for."""
-        watch, failures, since = Caller(self.books, "discovery_watch", self.where), 0, False
+        watch, failures, since = Caller(self.runtime, "discovery_watch", self.where), 0, False
         wait = WATCH_WAIT
         self._watches.append(watch)
         try:
             while watch in self._watches:
-                began, version = self.books.now, self.world.version
+                began, version = self.runtime.now, self.registry.version
                 failure = await self._call(watch, since, wait)
                 if failure is None:
                     self._end_before(watch)
                     if (
                         since
-                        and version == self.world.version
-                        and self.books.now - began < RETRY_MOST
+                        and version == self.registry.version
+                        and self.runtime.now - began < RETRY_MOST
                     ):
-                        await self.books.pause(RETRY_LEAST)  # it did not wait: no reason to spin
+                        await self.runtime.pause(RETRY_LEAST)  # it did not wait: no reason to spin
                     failures, since = (
                         0,
                         wait != WATCH_AGAIN,
@@ -82,8 +88,8 @@
                     self.tell(FleetNews(FleetNewsKind.MISSED, []))
                     return
                 if failures > 1:
-                    await self.books.pause(
-                        RETRY_LEAST + self.books.dice.random() * (RETRY_MOST - RETRY_LEAST)
+                    await self.runtime.pause(
+                        RETRY_LEAST + self.runtime.rng.random() * (RETRY_MOST - RETRY_LEAST)
                     )
         finally:
             watch.close()
@@ -101,7 +107,7 @@
 
     async def _call(self, caller: Caller, since: bool, wait: int = WATCH_WAIT) -> Failure | None:
         path = names.LIST_PATH + (
-            f"?{names.SINCE}={self.world.version}&{names.WAIT}={wait}" if since else ""
+            f"?{names.SINCE}={self.registry.version}&{names.WAIT}={wait}" if since else ""
         )
         result = await caller.call(get(path), ANSWER_WAIT + (wait if since else 0))
         if not isinstance(result, Failure):
@@ -113,9 +119,9 @@
             trouble = message if isinstance(message, Skip) else self._take(message, not since)
             if trouble is None:
                 return None
-            result = Failure(Reach.ANSWERED, Cause.UNREADABLE, trouble.why)
+            result = Failure(SendProgress.ANSWERED, FailureCause.INVALID_RESPONSE, trouble.why)
         if caller is self._list or caller in self._watches:  # and not one that was ended
-            self.books.notices.note(
+            self.runtime.rate_limited_log.warning(
                 "discovery_failed",
                 cause=result.cause.value,
                 reach=result.reach.value,
@@ -129,7 +135,7 @@
         if isinstance(found, Skip):
             return found
         listings, _ = self._read(found[2])
-        self.world.version = found[0]
+        self.registry.version = found[0]
         self._keep(listings)
         self.tell(FleetNews(FleetNewsKind.CACHED, listings))
         return None
@@ -144,24 +150,24 @@
         if isinstance(found, Skip):
             return found
         version, whole, entries = found
-        if version < self.world.version and not (whole and entries and version in self._older):
-            self._older = range(version, self.world.version) if first else self._older
+        if version < self.registry.version and not (whole and entries and version in self._older):
+            self._older = range(version, self.registry.version) if first else self._older
             return Skip(OLDER)
         self._older = range(0)
         listings, named = self._read(entries)
         changed = [
             one
             for one in listings
-            if self.world.listed.get(one.backend) != one
-            and (one.phase is not Phase.GONE or one.backend in self.world.listed)
+            if self.registry.listings.get(one.backend) != one
+            and (one.phase is not Phase.GONE or one.backend in self.registry.listings)
         ]
         if whole:
             changed += [
                 Listing(one.backend, one.zone, one.cell, Phase.GONE, one.started_at_ms, one.size)
-                for one in self.world.listed.values()
+                for one in self.registry.listings.values()
                 if one.backend.backend_id not in named
             ]
-        self.world.version, self.answered = version, True
+        self.registry.version, self.answered = version, True
         self._keep(changed)
         if changed or first:
             self.tell(FleetNews(FleetNewsKind.DELTA, changed))
@@ -184,7 +190,7 @@
         for entry in entries:
             listing = self.door.listing(entry)
             if isinstance(listing, Skip):
-                self.books.notices.note("bad_listing", why=listing.why)
+                self.runtime.rate_limited_log.warning("bad_listing", why=listing.why)
                 self._spoilt = True
                 listing = self._leaving(entry)
             if listing is not None:
@@ -194,12 +200,12 @@
     def _leaving(self, entry: object) -> Listing | None:
         """A backend that is listed, as an entry that is spoilt elsewhere has it drain or gone."""
         found = self.door.leaving(entry)
-        former = None if isinstance(found, Skip) else self.world.listed.get(found[0])
+        former = None if isinstance(found, Skip) else self.registry.listings.get(found[0])
         return former and replace(former, phase=found[1])
 
     def _keep(self, listings: list[Listing]) -> None:
         for one in listings:
             if one.phase is Phase.GONE:
-                self.world.listed.pop(one.backend, None)
+                self.registry.listings.pop(one.backend, None)
             else:
-                self.world.listed[one.backend] = one
+                self.registry.listings[one.backend] = one
--- a/lifthinge/wire/door.py
+++ b/lifthinge/wire/door.py
@@ -26,7 +26,7 @@
     SliceLeaseChanged,
     StoredEntry,
 )
-from lifthinge.memory.world import World
+from lifthinge.memory.registry import Registry
 from lifthinge.settings import SiteLayout
 from lifthinge.wire import names
 from lifthinge.wire.frames import Skip
@@ -126,8 +126,8 @@
 class Door:
     """Knows the site's names and the world's ids."""
 
-    def __init__(self, site: SiteLayout, world: World) -> None:
-        self.site, self.world = site, world
+    def __init__(self, site: SiteLayout, registry: Registry) -> None:
+        self.site, self.registry = site, registry
         self._reports: dict[str, Callable[[Fields], Event]] = {
             names.TRIES: self._tries,
             names.SLICE_HEAT: self._heat,
@@ -176,7 +176,7 @@
         """What the relay told; of what `stands`, a proxy may leave of which nothing was told before."""
         event = self._read(self._news, message.get(names.NEWS_KIND), message.get(names.NEWS_FIELDS))
         of_joined = isinstance(event, (ProxyLeft, SealConfirmed)) and not stands
-        if of_joined and event.proxy not in self.world.joined:
+        if of_joined and event.proxy not in self.registry.joined_proxies:
             return Skip("the proxy has not joined")
         return event
 
@@ -233,16 +233,16 @@
         return self._backend_of(fields, names.BACKEND)
 
     def _backend_of(self, fields: Fields, key: str) -> Backend:
-        found = self.world.backends.get(fields.text(key))
+        found = self.registry.backends.get(fields.text(key))
         if found is None:
             raise _Unfit("the backend is not known")
         return found
 
     def _slice(self, fields: Fields) -> Slice:
-        return self.world.slice(fields.whole(names.SLICE, self.site.slice_count - 1))
+        return self.registry.slice(fields.whole(names.SLICE, self.site.slice_count - 1))
 
     def _proxy(self, fields: Fields) -> Proxy:
-        return self.world.proxy(fields.whole(names.PROXY, self.site.proxy_count - 1))
+        return self.registry.proxy(fields.whole(names.PROXY, self.site.proxy_count - 1))
 
     def _tries(self, f: Fields) -> Event:
         total, failed, span = self._counts(f)
@@ -275,7 +275,7 @@
 
     def _proxy_load(self, f: Fields) -> Event:
         proxy = self._proxy(f)
-        if proxy not in self.world.joined:
+        if proxy not in self.registry.joined_proxies:
             raise _Unfit("the proxy has not joined")
         return ProxyLoadReport(proxy, f.place(names.METHOD, self.site.methods), *self._counts(f))
 
@@ -287,7 +287,7 @@
         size, fresh, proxy = (
             f.number(names.SIZE, 0.0),
             f.flag(names.FRESH),
-            self.world.proxy(number),
+            self.registry.proxy(number),
         )
         proxy.size, proxy.zone = size, zone
         return ProxyJoined(proxy, fresh)
@@ -303,7 +303,7 @@
         return SliceLeaseChanged(self._slice(f), f.flag(names.GIVEN))
 
     def _line(self, f: Fields) -> Event:
-        backend = self.world.backend(f.text(names.BACKEND))
+        backend = self.registry.backend(f.text(names.BACKEND))
         if backend is None:
             raise _Unfit("one backend too many")
         # The relay tells weights to three places: a line that stands has one, though it is told as 0.
@@ -313,7 +313,7 @@
         name, state = f.text(names.ID), f.text(names.PHASE)
         if state not in names.PHASES:
             raise _Unfit("the state is not known")
-        phase, known = names.PHASES[state], self.world.backends.get(name)
+        phase, known = names.PHASES[state], self.registry.backends.get(name)
         zone = f.place(names.ZONE, self.site.zones)
         started, size = f.number(names.STARTED, 0.0, NUMBER_MOST), f.number(names.SIZE, 1.0)
         try:
@@ -323,10 +323,10 @@
         if phase is Phase.GONE:  # nothing is kept of one that was never known, or is forgotten
             backend = known or Backend(name, name)
         else:
-            backend = self.world.backend(name)
+            backend = self.registry.backend(name)
             if backend is None:
                 raise _Unfit("one backend too many")
-            self.world.addresses[backend] = where
+            self.registry.addresses[backend] = where
         return Listing(backend, zone, int(f.number(names.CELL, 0.0)), phase, started, size)
 
     def _level(self, order: SetAdmissionLevel) -> dict[str, Any]:
--- a/lifthinge/wire/news.py
+++ b/lifthinge/wire/news.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 
 from lifthinge.interface import Event, SealConfirmed, SliceLeaseChanged, StoredEntry
-from lifthinge.memory.attempts import Cause, Failure, Reach
-from lifthinge.memory.books import Books
-from lifthinge.memory.calls import Calls
+from lifthinge.memory.attempts import Failure, FailureCause, SendProgress
 from lifthinge.memory.deadlines import Deadline
-from lifthinge.memory.stand import Stand
-from lifthinge.memory.world import World
+from lifthinge.memory.initial_state import InitialState
+from lifthinge.memory.pending_orders import PendingOrders
+from lifthinge.memory.registry import Registry
+from lifthinge.memory.runtime import Runtime
 from lifthinge.outer_names import outer_name
 from lifthinge.wire import names
 from lifthinge.wire.client import HttpConnection, Result, get
@@ -31,12 +31,15 @@
     """Hands on line by line for as long as they come; `trouble` says why another stream is needed."""
 
     def __init__(
-        self, books: Books, stand: Stand, line: Callable[["NewsConnection", bytes], None]
+        self,
+        runtime: Runtime,
+        initial_state: InitialState,
+        line: Callable[["NewsConnection", bytes], None],
     ) -> None:
-        super().__init__(books, "relay_news")
+        super().__init__(runtime, "relay_news")
         self._line = line
         self._silence: Deadline | None = None
-        self.stand: Stand | None = stand  # until what stands has been told
+        self.initial_state: InitialState | None = initial_state  # until what stands has been told
         self.trouble: asyncio.Future[Failure] = asyncio.get_running_loop().create_future()
 
     def open(self, data: bytes) -> None:
@@ -50,7 +53,7 @@
             while not self.lost and (line := self.parser.take_line()) is not None:
                 self._line(self, line)
         if trouble or self.parser.done:
-            self.fail(Cause.UNREADABLE, trouble or f"status {self.parser.status}")
+            self.fail(FailureCause.INVALID_RESPONSE, trouble or f"status {self.parser.status}")
 
     def gone(self) -> None:
         if self._silence:
@@ -60,15 +63,15 @@
     def _listen(self) -> None:
         if self._silence:
             self._silence.cancel()
-        self._silence = self.books.deadlines.set(SILENCE, self._silent)
+        self._silence = self.runtime.deadlines.set(SILENCE, self._silent)
 
     def _silent(self) -> None:
-        self.report(Failure(self.reach(), Cause.LATE, "silent"))
+        self.report(Failure(self.reach(), FailureCause.LATE, "silent"))
 
     def report(self, result: Result) -> None:
         """Another stream is wanted; this one is heard on. One that ends as an answer does has broken off."""
         if not self.trouble.done():
-            over = Failure(Reach.ANSWERED, Cause.BROKEN, "ended")
+            over = Failure(SendProgress.ANSWERED, FailureCause.BROKEN, "ended")
             self.trouble.set_result(result if isinstance(result, Failure) else over)
 
 
@@ -77,16 +80,22 @@
 
     def __init__(
         self,
-        books: Books,
+        runtime: Runtime,
         door: Door,
-        world: World,
-        calls: Calls,
+        registry: Registry,
+        pending_orders: PendingOrders,
         where: tuple[str, int],
         tell: Callable[[list[Event]], None],
     ) -> None:
-        self.books, self.door, self.world, self.calls, self.where = books, door, world, calls, where
+        self.runtime, self.door, self.registry, self.pending_orders, self.where = (
+            runtime,
+            door,
+            registry,
+            pending_orders,
+            where,
+        )
         self.tell = tell
-        self.stood = False  # ever heard what stands
+        self.has_initial_state = False  # ever heard what stands
         self._live: NewsConnection | None = None  # the one that is listened to
         self._latest: NewsConnection | None = None  # the last one opened, until it gives way
         self._given: dict[object, list[Event]] = {}  # slices just given, with their lines so far
@@ -95,29 +104,34 @@
     async def run(self) -> None:
         failures = 0
         while True:
-            opened = self.books.now
+            opened = self.runtime.now
             failure = await self._once()
-            self.books.notices.note(
+            self.runtime.rate_limited_log.warning(
                 "news_ended",
                 reach=failure.reach.value,
                 cause=failure.cause.value,
                 detail=failure.detail,
             )
-            quick = self.books.now - opened < SILENCE and failure.cause is not Cause.MOVED
+            quick = (
+                self.runtime.now - opened < SILENCE
+                and failure.cause is not FailureCause.ADDRESS_CHANGED
+            )
             failures = failures + 1 if quick else 0
             if failures > 1:
-                await self.books.pause(
-                    RETRY_LEAST + self.books.dice.random() * (RETRY_MOST - RETRY_LEAST)
+                await self.runtime.pause(
+                    RETRY_LEAST + self.runtime.rng.random() * (RETRY_MOST - RETRY_LEAST)
                 )
 
-    def renew(self, where: tuple[str, int] | None = None, why: Cause = Cause.RENEWED) -> None:
+    def renew(
+        self, where: tuple[str, int] | None = None, why: FailureCause = FailureCause.RESUBSCRIBED
+    ) -> None:
         """Has what stands told again, maybe elsewhere; the stream so far is heard until that is done."""
         self.where = where or self.where
         if self._latest:
-            self._latest.report(Failure(Reach.ANSWERED, why))
+            self._latest.report(Failure(SendProgress.ANSWERED, why))
 
     def move(self, where: tuple[str, int]) -> None:
-        self.renew(where, Cause.MOVED)
+        self.renew(where, FailureCause.ADDRESS_CHANGED)
 
     def close(self) -> None:
         if self._live:
@@ -126,14 +140,16 @@
     async def _once(self) -> Failure:
         where = self.where
         connection = await connect(
-            self.books, lambda: NewsConnection(self.books, Stand(self.calls), self._take), where
+            self.runtime,
+            lambda: NewsConnection(self.runtime, InitialState(self.pending_orders), self._take),
+            where,
         )
         if isinstance(connection, Failure):
             return connection
         self._latest = connection
         try:
             if where != self.where:
-                return Failure(Reach.NOT_SENT, Cause.MOVED)
+                return Failure(SendProgress.NOT_SENT, FailureCause.ADDRESS_CHANGED)
             connection.open(get(names.NEWS_PATH)(where))
             return await connection.trouble
         finally:
@@ -149,17 +165,19 @@
             else (
                 message
                 if isinstance(message, Skip)
-                else self.door.news(message, connection.stand is not None)
+                else self.door.news(message, connection.initial_state is not None)
             )
         )
-        if connection.stand is not None and (event is None or isinstance(event, SealConfirmed)):
+        if connection.initial_state is not None and (
+            event is None or isinstance(event, SealConfirmed)
+        ):
             self._end_stand(connection)
         if isinstance(event, Skip):
-            self.books.notices.note("bad_news", why=event.why)
+            self.runtime.rate_limited_log.warning("bad_news", why=event.why)
         elif event is not None:
-            self.books.counters.add(f"news.{outer_name(type(event))}")
-            if connection.stand is not None:
-                connection.stand.take(event)
+            self.runtime.counters.add(f"news.{outer_name(type(event))}")
+            if connection.initial_state is not None:
+                connection.initial_state.apply(event)
             else:
                 self._pass(event)
 
@@ -169,18 +187,20 @@
         former, self._live = self._live, connection
         if former is not None and former is not connection:
             former.abort()
-        told = connection.stand.difference(self.world) if connection.stand else []
-        connection.stand = None
-        self.books.counters.add("news.stands")
-        self.books.counters.add("news.differences", len(told))
-        self.stood = True
+        told = (
+            connection.initial_state.difference(self.registry) if connection.initial_state else []
+        )
+        connection.initial_state = None
+        self.runtime.counters.add("news.stands")
+        self.runtime.counters.add("news.differences", len(told))
+        self.has_initial_state = True
         self.tell(told)
 
     def _pass(self, event: Event) -> None:
         """Hands an event on; a slice just given waits for its lines, or it would pass for a bare one."""
         if isinstance(event, SliceLeaseChanged) and event.is_granted:
             if (
-                event.slice in self.world.held
+                event.slice in self.registry.leased_slices
             ):  # nothing may be ordered for it on its old lines meanwhile
                 self.tell([SliceLeaseChanged(event.slice, False)])
             self._given[event.slice] = [event]
@@ -192,7 +212,7 @@
             return
         if self._given_over:
             self._given_over.cancel()
-        self._given_over = self.books.deadlines.set(LINES_FOLLOW, self._tell_given)
+        self._given_over = self.runtime.deadlines.set(LINES_FOLLOW, self._tell_given)
 
     def _tell_given(self) -> None:
         if self._given_over:
--- a/lifthinge/wire/peers.py
+++ b/lifthinge/wire/peers.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from lifthinge.interface import PeerMessage
-from lifthinge.memory.books import Books
+from lifthinge.memory.runtime import Runtime
 
 DATAGRAM_MOST = 256
 
@@ -14,14 +14,14 @@
 
     def __init__(
         self,
-        books: Books,
+        runtime: Runtime,
         peers: list[tuple[str, int]],
         everyone: tuple[str, int] | None,
         own: int,
         tell: Callable[[PeerMessage], None],
     ) -> None:
-        self.books, self.peers, self.everyone, self.own, self.tell = (
-            books,
+        self.runtime, self.peers, self.everyone, self.own, self.tell = (
+            runtime,
             peers,
             everyone,
             own,
@@ -44,7 +44,7 @@
             or len(content) > DATAGRAM_MOST
             or (peer or 0) >= len(self.peers)
         ):
-            self.books.notices.note("note_not_sent", bytes=len(content), peer=peer)
+            self.runtime.rate_limited_log.warning("note_not_sent", bytes=len(content), peer=peer)
             return
         others = [where for number, where in enumerate(self.peers) if number != self.own]
         where = (
@@ -52,7 +52,7 @@
         )
         for one in where:
             self._transport.sendto(content, one)
-            self.books.counters.add("peers.sent")
+            self.runtime.counters.add("peers.sent")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
@@ -60,12 +60,12 @@
     def datagram_received(self, data: bytes, addr: tuple) -> None:
         number = self._numbers.get(addr[:2])
         if number is None or number == self.own:
-            self.books.notices.note("datagram_of_stranger")
+            self.runtime.rate_limited_log.warning("datagram_of_stranger")
         elif len(data) > DATAGRAM_MOST:
-            self.books.notices.note("datagram_too_long", bytes=len(data))
+            self.runtime.rate_limited_log.warning("datagram_too_long", bytes=len(data))
         else:
-            self.books.counters.add("peers.heard")
+            self.runtime.counters.add("peers.heard")
             self.tell(PeerMessage(number, data))
 
     def error_received(self, exc: Exception) -> None:
-        self.books.counters.add("peers.errors")
+        self.runtime.counters.add("peers.errors")
--- a/lifthinge/wire/probes.py
+++ b/lifthinge/wire/probes.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 
 from lifthinge.interface import Backend, ProbeOutcome, ProbeResult
-from lifthinge.memory.attempts import Cause, Failure
-from lifthinge.memory.books import Books
-from lifthinge.memory.world import World
+from lifthinge.memory.attempts import Failure, FailureCause
+from lifthinge.memory.registry import Registry
+from lifthinge.memory.runtime import Runtime
 from lifthinge.wire import names
 from lifthinge.wire.client import Answer, Caller, get
 from lifthinge.wire.door import Door, read_load
@@ -21,18 +21,18 @@
     """Each probe has a connection of its own, so none waits for another."""
 
     def __init__(
-        self, books: Books, door: Door, world: World, tell: Callable[[ProbeResult], None]
+        self, runtime: Runtime, door: Door, registry: Registry, tell: Callable[[ProbeResult], None]
     ) -> None:
-        self.books, self.door, self.world, self.tell = books, door, world, tell
+        self.runtime, self.door, self.registry, self.tell = runtime, door, registry, tell
         self._running: dict[asyncio.Task, Backend] = {}
 
     def probe(self, backend: Backend) -> None:
         if backend in self._running.values():
-            self.books.counters.add("probe.doubled")
-        elif not self.door.site.sends_probes or backend not in self.world.addresses:
-            self.books.counters.add("probe.not_to_be_had")
+            self.runtime.counters.add("probe.doubled")
+        elif not self.door.site.sends_probes or backend not in self.registry.addresses:
+            self.runtime.counters.add("probe.not_to_be_had")
         elif len(self._running) >= PROBES_MOST:
-            self.books.counters.add("probe.no_room")
+            self.runtime.counters.add("probe.no_room")
         else:
             task = asyncio.get_running_loop().create_task(self._one(backend))
             self._running[task] = backend
@@ -43,8 +43,8 @@
             task.cancel()
 
     async def _one(self, backend: Backend) -> None:
-        began, fields = self.books.now, self.door.site.load_fields
-        caller = Caller(self.books, "probe", self.world.addresses[backend])
+        began, fields = self.runtime.now, self.door.site.load_fields
+        caller = Caller(self.runtime, "probe", self.registry.addresses[backend])
         path = names.LOAD_PATH if fields else names.HEALTH_PATH
         try:
             result = await caller.call(get(path), PROBE_WAIT)
@@ -55,15 +55,15 @@
             if isinstance(result, Answer) and fields
             else ()
         )
-        self.tell(ProbeResult(backend, outcome(result), self.books.now - began, load))
+        self.tell(ProbeResult(backend, outcome(result), self.runtime.now - began, load))
 
 
 def outcome(result: Answer | Failure) -> ProbeOutcome:
     """
     >>> [outcome(Answer(status, b"")).value for status in (200, 503, 500)]
     ['ok', 'pushed_back', 'aborted']
-    >>> from lifthinge.memory.attempts import Reach
-    >>> [outcome(Failure(Reach.NOT_SENT, cause)).value for cause in Cause]
+    >>> from lifthinge.memory.attempts import SendProgress
+    >>> [outcome(Failure(SendProgress.NOT_SENT, cause)).value for cause in FailureCause]
     ['unreachable', 'unreachable', 'late', 'broken', 'aborted', 'unreachable', 'unreachable', 'unreachable']
     """
     if isinstance(result, Answer):
@@ -71,9 +71,9 @@
             result.status, ProbeOutcome.ABORTED
         )
     return {
-        Cause.LATE: ProbeOutcome.LATE,
-        Cause.BROKEN: ProbeOutcome.BROKEN,
-        Cause.UNREADABLE: ProbeOutcome.ABORTED,
+        FailureCause.LATE: ProbeOutcome.LATE,
+        FailureCause.BROKEN: ProbeOutcome.BROKEN,
+        FailureCause.INVALID_RESPONSE: ProbeOutcome.ABORTED,
     }.get(result.cause, ProbeOutcome.UNREACHABLE)
 
 
--- a/lifthinge/wire/relay.py
+++ b/lifthinge/wire/relay.py
@@ -1,4 +1,4 @@
-"""Calls to the relay: one in order at a time, until it is known what became of each.
+"""PendingOrders to the relay: one in order at a time, until it is known what became of each.
 
 What never went out wholly goes again. What went out wholly and brought no answer ran as ordered or not at
 all: it goes again once the decisions say that the channel bears it, unless a proxy's answer to its seal shows
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Iterable
 
 from lifthinge.interface import Order
-from lifthinge.memory.attempts import Cause, Failure
-from lifthinge.memory.books import Books
-from lifthinge.memory.calls import Calls, Pending
+from lifthinge.memory.attempts import Failure, FailureCause
+from lifthinge.memory.pending_orders import PendingOrder, PendingOrders
+from lifthinge.memory.runtime import Runtime
 from lifthinge.wire import names
 from lifthinge.wire.client import Answer, Caller, Result, post
 from lifthinge.wire.door import Door
@@ -33,24 +33,24 @@
 
     def __init__(
         self,
-        books: Books,
+        runtime: Runtime,
         door: Door,
-        calls: Calls,
+        pending_orders: PendingOrders,
         where: tuple[str, int],
         changed: Callable[[], None],
         refused: Callable[[Order], None],
         given_up: Callable[[list[Order]], None],
     ) -> None:
-        self.books, self.door, self.calls = books, door, calls
+        self.runtime, self.door, self.pending_orders = runtime, door, pending_orders
         self.changed, self.refused, self.given_up = changed, refused, given_up
         self.unknown = 0  # the seal of a call whose fate is unknown, until it goes out again
         self.broken = False  # whether it broke off; else the relay was silent or could not be read
-        self._caller = Caller(books, "relay_call", where)
+        self._caller = Caller(runtime, "relay_call", where)
         self._given, self._known = asyncio.Event(), asyncio.Event()
         self._failures = self._errors = 0  # in a row
 
     def give(self, orders: Iterable[Order]) -> None:
-        self.calls.add(
+        self.pending_orders.add(
             [
                 (order, json.dumps(self.door.order(order), separators=(",", ":")).encode())
                 for order in orders
@@ -65,14 +65,14 @@
     def repeat(self, seal: int) -> None:
         """The call may go out again."""
         if self.unknown == seal:
-            self.books.counters.add("relay_call.repeated")
+            self.runtime.counters.add("relay_call.repeated")
             self._end_doubt()
 
     def confirmed(self, seal: int) -> None:
         """A proxy has answered a seal: if its call's fate was unknown, it ran."""
         if self.unknown == seal:
-            self.books.counters.add("relay_call.shown_to_have_run")
-            self.calls.settle(self._front())
+            self.runtime.counters.add("relay_call.shown_to_have_run")
+            self.pending_orders.settle(self._front())
             self._failures = self._errors = 0
             self._end_doubt()
 
@@ -89,44 +89,46 @@
     def close(self) -> None:
         self._caller.close()
 
-    def _front(self) -> list[Pending]:
-        return self.calls.front(CALL_MOST - len(names.ORDERS) - 8)
+    def _front(self) -> list[PendingOrder]:
+        return self.pending_orders.next_batch(CALL_MOST - len(names.ORDERS) - 8)
 
-    async def _settle(self, call: list[Pending], result: Result) -> None:
+    async def _settle(self, call: list[PendingOrder], result: Result) -> None:
         """Takes in what became of a call; returns when the next may go out."""
         if isinstance(result, Failure):
-            self.books.notices.note(
+            self.runtime.rate_limited_log.warning(
                 "relay_call_failed",
                 reach=result.reach.value,
                 cause=result.cause.value,
                 detail=result.detail,
             )
-            await self._again(result.may_have_run, result.cause is Cause.BROKEN)
+            await self._again(result.may_have_run, result.cause is FailureCause.BROKEN)
             return
         answer = read_object(result.body)
         accepted = answer.get(names.ACCEPTED) if isinstance(answer, dict) else None
         if result.status == 200 and type(accepted) is int and 0 <= accepted <= len(call):
             self._failures = self._errors = 0
-            self.books.counters.add("orders_accepted", accepted)
-            self.calls.settle(call[: accepted + 1])
+            self.runtime.counters.add("orders_accepted", accepted)
+            self.pending_orders.settle(call[: accepted + 1])
             if accepted < len(call):
-                self.books.notices.note("order_refused", order=call[accepted].body.decode())
+                self.runtime.rate_limited_log.warning(
+                    "order_refused", order=call[accepted].body.decode()
+                )
                 self.refused(call[accepted].order)
         elif isinstance(answer, dict) and answer.get(names.ERROR) == names.THROTTLED:
-            await self.books.pause(THROTTLE_WAIT)
+            await self.runtime.pause(THROTTLE_WAIT)
         else:
             await self._take_error(call, result, answer)
 
-    async def _take_error(self, call: list[Pending], result: Answer, answer: object) -> None:
+    async def _take_error(self, call: list[PendingOrder], result: Answer, answer: object) -> None:
         """An error that is no waiting, or what can't be read: then it is unknown whether the call ran."""
         self._errors += 1
-        self.books.notices.note(
+        self.runtime.rate_limited_log.warning(
             "relay_call_error", status=result.status, body=result.body[:200].decode("latin-1")
         )
         invalid = isinstance(answer, dict) and answer.get(names.ERROR) == names.INVALID
         if invalid or self._errors >= ERRORS_MOST:
-            self.books.notices.note("relay_call_given_up", orders=len(call))
-            self.calls.settle(call)
+            self.runtime.rate_limited_log.warning("relay_call_given_up", orders=len(call))
+            self.pending_orders.settle(call)
             self._errors = 0
             self.given_up([one.order for one in call])
         else:
@@ -135,10 +137,10 @@
     async def _again(self, may_have_run: bool, broken: bool = False) -> None:
         self._failures += 1
         if self._failures > 1:
-            await self.books.pause(
-                RETRY_LEAST + self.books.dice.random() * (RETRY_MOST - RETRY_LEAST)
+            await self.runtime.pause(
+                RETRY_LEAST + self.runtime.rng.random() * (RETRY_MOST - RETRY_LEAST)
             )
-        if may_have_run and (seal := self.calls.seal()):
+        if may_have_run and (seal := self.pending_orders.next_seal()):
             self.unknown, self.broken = seal, broken
             self._known.clear()
             self.changed()
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -18,7 +18,7 @@
 from lifthinge.cluster.sealing import FORM, HEAD, Hello, Sealer, read_hello, sign, talk_of
 from lifthinge.raft.messages import Member, Roster
 from lifthinge.raft.node import Pace
-from lifthinge.service.run import make_books
+from lifthinge.service.run import make_runtime
 from lifthinge.store.files import Files
 
 KEY, OTHER, CLIENT = b"k" * 32, b"o" * 32, b"c" * 32
@@ -30,13 +30,13 @@
     """A listening end that notes what it hears."""
 
     def __init__(self) -> None:
-        self.books = make_books(3, 256)
+        self.runtime = make_runtime(3, 256)
         self.bodies: list[bytes] = []
         self.keys = {"member": Keys("k", {"k": KEY}), "client": Keys("c", {"c": CLIENT})}
 
     async def open(self) -> tuple[str, int]:
         def make() -> Link:
-            link = Link(self.books, lambda role: self.keys[role], "depots", "b")
+            link = Link(self.runtime, lambda role: self.keys[role], "depots", "b")
             link.heard = lambda link, body: self.bodies.append(body)
             return link
 
@@ -96,7 +96,7 @@
         ):
             reader, _, sealer = await _meet(where, _hello(**changes), key)
             assert sealer is None and await _ended(reader), changes
-        assert not heard.bodies and heard.books.counters.get("link_refused") == 8
+        assert not heard.bodies and heard.runtime.counters.get("link_refused") == 8
 
     asyncio.run(asyncio.wait_for(play(), PATIENCE))
 
@@ -166,7 +166,7 @@
             path = self.folder / name
             path.touch(mode=0o600)
             path.write_text(f"{name[0]} {key.hex()}\n")
-        self.names, self.books = names, make_books(11, 1024)
+        self.names, self.runtime = names, make_runtime(11, 1024)
         self.servers: dict[str, MemberServer] = {}
         self.failed: list[str] = []
         self.keys = KeyFile(str(self.folder / "clients"), read_keys(str(self.folder / "clients")))
@@ -179,7 +179,7 @@
         if disk.cluster is None:
             disk.begin(Cluster("depots", name, first))
         seat = Seat("depots", name, self.where[name], PACE, lambda role: self.by_role[role])
-        server = MemberServer(seat, self.books, disk, self.failed.append)
+        server = MemberServer(seat, self.runtime, disk, self.failed.append)
         await server.start()
         self.servers[name] = server
 
@@ -197,7 +197,7 @@
             await self.start(name, first)
 
     def client(self) -> AgreedClient:
-        return AgreedClient(self.books, self.where, "depots", "test", self.keys)
+        return AgreedClient(self.runtime, self.where, "depots", "test", self.keys)
 
     async def stop(self) -> None:
         for server in self.servers.values():
@@ -211,9 +211,11 @@
         trio = Trio()
         await trio.start_all()
         client, told = trio.client(), []
-        follower = AgreedFollower(trio.books, trio.where, "depots", "front", trio.keys, told.append)
+        follower = AgreedFollower(
+            trio.runtime, trio.where, "depots", "front", trio.keys, told.append
+        )
         task = asyncio.create_task(follower.run())
-        until = trio.books.now + 15_000.0
+        until = trio.runtime.now + 15_000.0
         first = await client.propose({"zones": [{"name": "a", "share": 0.5}]}, 0, "op", 1.0, until)
         assert isinstance(first, Accepted) and first.version == 1, first
         body = msgspec.msgpack.encode({"zones": [{"name": "a", "share": 0.5}]})
@@ -226,17 +228,17 @@
         shown = await client.ask(talk.Show(), until)
         assert shown.version == 1 and shown.body == body
         while not told:
-            await trio.books.pause(10.0)
+            await trio.runtime.pause(10.0)
         leader = next(name for name, one in trio.servers.items() if one.raft.leader == name)
         await trio.servers.pop(leader).stop()
-        second = await client.propose({}, 1, "op", 2.0, trio.books.now + 15_000.0)
+        second = await client.propose({}, 1, "op", 2.0, trio.runtime.now + 15_000.0)
         assert isinstance(second, Accepted) and second.version == 2, second
         await trio.start(leader, Roster())
         while not trio.servers[leader].ready:
-            await trio.books.pause(10.0)
+            await trio.runtime.pause(10.0)
         assert trio.servers[leader].state.version == 2
         while told[-1].version < 2:
-            await trio.books.pause(10.0)
+            await trio.runtime.pause(10.0)
         assert [one.version for one in told] == sorted({one.version for one in told})
         task.cancel()
         client.close()
@@ -250,12 +252,12 @@
     """What is agreed comes to the controller as `OperatorOverrides`, in its own objects, and `until` ends it by itself."""
     from types import SimpleNamespace
 
-    from lifthinge.memory.world import World
+    from lifthinge.memory.registry import Registry
     from lifthinge.operators import AgreedPart
     from lifthinge.service.agreed import AgreedDoor
 
     async def play() -> None:
-        trio, told, world = Trio("a"), [], World()
+        trio, told, registry = Trio("a"), [], Registry()
         await trio.start_all()
         part = AgreedPart(
             cluster="depots",
@@ -263,10 +265,10 @@
             key_file=str(trio.folder / "clients"),
         )
         site = SimpleNamespace(zones=("za", "zb"), methods=("look", "scan"))
-        door = AgreedDoor(part, "n0", trio.books, world, site, told.extend, trio.keys)
+        door = AgreedDoor(part, "n0", trio.runtime, registry, site, told.extend, trio.keys)
         task = asyncio.create_task(door.follower.run())
         client = trio.client()
-        now = trio.books.now
+        now = trio.runtime.now
         reply = await client.propose(
             {
                 "backends": [
@@ -284,12 +286,12 @@
         )
         assert isinstance(reply, Accepted), reply
         while len(told) < 2:
-            await trio.books.pause(10.0)
+            await trio.runtime.pause(10.0)
         first, later = told[:2]
         assert first.out_of_service == [
-            world.backend("s-1"),
-            world.backend("s-2"),
-        ] and later.out_of_service == [world.backend("s-2")]
+            registry.backend("s-1"),
+            registry.backend("s-2"),
+        ] and later.out_of_service == [registry.backend("s-2")]
         assert first.zone_shares == {1: 0.5} and first.method_criticality == {1: 9.0}
         task.cancel()
         door.close()
@@ -307,17 +309,17 @@
         trio.where = {}
         await trio.start_all()
         client = trio.client()
-        opened = await client.ask(talk.Begin(b"n"), trio.books.now + 10_000.0)
+        opened = await client.ask(talk.Begin(b"n"), trio.runtime.now + 10_000.0)
         assert isinstance(opened, Opened), opened
         server = trio.servers["a"]
         server.raft.pace = Pace(election=100.0, beat=20.0, pending_entries=0)
         link = await client._reach()
         body = msgspec.msgpack.encode({})
-        began = trio.books.now
+        began = trio.runtime.now
         reply = await link.ask(Propose(opened.session, 1, 0, 0.0, "op", body))
         assert reply == talk.Sorry("busy", "a", "%s:%d" % trio.where["a"]), reply
         huge = await link.ask(Propose(opened.session, 2, 0, 0.0, "op", bytes((1 << 20) + 1)))
-        assert huge.why == "document: too large" and trio.books.now - began < 1_000.0, huge
+        assert huge.why == "document: too large" and trio.runtime.now - began < 1_000.0, huge
         client.close()
         await trio.stop()
 
--- a/tests/play/network.py
+++ b/tests/play/network.py
@@ -28,10 +28,10 @@
     SliceLeaseChanged,
     StoredEntry,
 )
-from lifthinge.memory.books import Books
-from lifthinge.memory.counters import Counters, Notices
-from lifthinge.memory.deadlines import Deadlines
-from lifthinge.memory.slots import Slots
+from lifthinge.memory.counters import Counters, RateLimitedLog
+from lifthinge.memory.deadlines import DeadlineTable
+from lifthinge.memory.runtime import Runtime
+from lifthinge.memory.slots import SlotPool
 from lifthinge.outer_names import KINDS, outer_name
 from lifthinge.service.controller import Controller
 from lifthinge.service.environment import Place
@@ -234,7 +234,9 @@
             if self.controller:
                 self.controller.stop()
                 await self._settle()
-                left = len(self.controller.books.connections) + len(self.controller.books.requests)
+                left = len(self.controller.runtime.connections) + len(
+                    self.controller.runtime.requests
+                )
                 assert not left, f"{left} connections and requests are left"
         finally:
             for one in self.sockets + self.udp:
@@ -296,12 +298,14 @@
         own = self.udp[0].getsockname()
         self.udp.pop(0).close()
         counters = Counters()
-        books = Books(
-            Deadlines(lambda: self.now, lambda delay, run: SimpleNamespace(cancel=lambda: None)),
+        runtime = Runtime(
+            DeadlineTable(
+                lambda: self.now, lambda delay, run: SimpleNamespace(cancel=lambda: None)
+            ),
             counters,
-            Notices(logging.getLogger("tests"), counters, lambda: self.now),
-            Slots(int(sockets)),
-            Slots(int(sockets)),
+            RateLimitedLog(logging.getLogger("tests"), counters, lambda: self.now),
+            SlotPool(int(sockets)),
+            SlotPool(int(sockets)),
             Random(7),
         )
         site = read_layout(self.site)
@@ -323,7 +327,7 @@
             read_settings(self.site),
             site,
         )
-        self.controller = Controller(place, books, self.script)
+        self.controller = Controller(place, runtime, self.script)
         await self.controller.start()
         self.address = self.controller.reception.where
 
@@ -345,15 +349,15 @@
         while self.now < end:  # in steps, as waits follow one another
             await self._settle()
             self.now = min(self.now + 10.0, end)
-            self.controller.books.deadlines.run()
+            self.controller.runtime.deadlines.run_due()
         await self._settle()
 
     async def do_order(self, *words: str) -> None:
-        world, orders = self.controller.world, []
+        registry, orders = self.controller.registry, []
         kinds = {
-            "backend": world.backend,
-            "slice": lambda n: world.slice(int(n)),
-            "proxy": lambda n: world.proxy(int(n)),
+            "backend": registry.backend,
+            "slice": lambda n: registry.slice(int(n)),
+            "proxy": lambda n: registry.proxy(int(n)),
         }
         for one in " ".join(words).split(", ") if words else ():
             name, *args = one.split()
@@ -384,7 +388,7 @@
 
     async def do_probe_all(self) -> None:
         await self.do_order(
-            *", ".join(f"Probe {name}" for name in self.controller.world.backends).split(" ")
+            *", ".join(f"Probe {name}" for name in self.controller.registry.backends).split(" ")
         )
 
     async def do_choke(self) -> None:
@@ -411,13 +415,13 @@
 
     async def do_counted(self, name: str, count: str) -> None:
         def found() -> float:
-            return self.controller.books.counters.get(name)
+            return self.controller.runtime.counters.get(name)
 
         await self._until(lambda: found() == float(count), lambda: f"it is {found()}")
 
     async def do_now_counted(self, name: str, count: str) -> None:
         await self._settle()
-        found = self.controller.books.counters.get(name)
+        found = self.controller.runtime.counters.get(name)
         assert found == float(count), f"it is {found}"
 
     # The program as a whole, in a process of its own and in real time.
