--- a/lifthinge/memory/deadlines.py
+++ b/lifthinge/memory/deadlines.py
@@ -28,7 +28,7 @@
     __slots__ = ("at", "order", "action", "table")
 
     def __init__(
-        self, at: float, order: int, action: Callable[[], Any], table: "Deadlines"
+        self, at: float, order: int, action: Callable[[], Any], table: "DeadlineTable"
     ) -> None:
         self.at, self.order, self.table = at, order, table
         self.action: Callable[[], Any] | None = action
