--- a/lifthinge/cluster/client.py
+++ b/lifthinge/cluster/client.py
@@ -112,7 +112,7 @@
         if hint and hint != self._at and hint in self.members:
             self.close()
             self._at = hint
-        if self._call is None or self._call.link.lost:
+        if self._call is None or self._call.link.is_closed:
             if not hint:
                 self._at = self.runtime.rng.choice(sorted(self.members))
             self._call = await call(
--- a/lifthinge/cluster/link.py
+++ b/lifthinge/cluster/link.py
@@ -29,7 +29,7 @@
     """`opened` is called once the other side is known, `heard` with each body, `closed` at the end, once each."""
 
     kind = "link"
-    unread_most = OUTBOX_MOST + FRAME_MOST
+    max_unread_bytes = OUTBOX_MOST + FRAME_MOST
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         if self._sealer is None:
             self.runtime.rate_limited_log.warning("link_no_hello", peer=self.dials or "inbound")
             self.abort()
-        elif self.runtime.now - self.heard_at > SILENT_MOST:
+        elif self.runtime.now - self.last_received_at > SILENT_MOST:
             self.runtime.rate_limited_log.warning("link_silent", peer=self.other.sender)
             self.abort()
         else:
@@ -76,8 +76,8 @@
         frame = sign(self.hello, keys.by_id[keys.signing])
         self.write(len(frame).to_bytes(HEAD, "big") + frame)
 
-    def received(self) -> None:
-        while not self.lost and len(self.buffer) >= HEAD:
+    def on_data(self) -> None:
+        while not self.is_closed and len(self.buffer) >= HEAD:
             length = int.from_bytes(self.buffer.peek(0, HEAD), "big")
             if not MAC < length <= (FRAME_MOST if self._opener else HELLO_MOST):
                 return self._refuse(f"a frame of {length} bytes")
@@ -134,7 +134,7 @@
         """Sends one body; False if it can't be sent now, which a sender must bear."""
         if (
             self._sealer is None
-            or self.lost
+            or self.is_closed
             or self.transport is None
             or self.transport.is_closing()
         ):
@@ -145,7 +145,7 @@
         self.write(self._sealer.seal(body))
         return True
 
-    def gone(self) -> None:
+    def on_closed(self) -> None:
         if self._deadline is not None:
             self._deadline.cancel()
         self.closed(self)
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -316,7 +316,7 @@
             link = self._from[
                 to
             ]  # a newcomer knows nobody's address yet: it answers where it was asked
-        if link is not None and not link.lost:
+        if link is not None and not link.is_closed:
             if link.say(messages.encode(message)):
                 self.runtime.counters.add("member.sent")
             else:
--- a/lifthinge/lab/raftdrill.py
+++ b/lifthinge/lab/raftdrill.py
@@ -142,7 +142,7 @@
     async def reports(self, wait: float = 300.0) -> dict[str, talk.Report]:
         async def one(name: str) -> talk.Report | None:
             link = self.watched.get(name)
-            if link is None or link.link.lost:
+            if link is None or link.link.is_closed:
                 link = await call(
                     self.runtime, self.addresses[name], "drill", "watch", self.watch_keys
                 )
--- a/lifthinge/service/agreed.py
+++ b/lifthinge/service/agreed.py
@@ -29,10 +29,10 @@
         runtime: Runtime,
         registry: Registry,
         site: SiteLayout,
-        tell: Callable[[list[Event]], None],
+        publish: Callable[[list[Event]], None],
         keys: KeyFile,
     ) -> None:
-        self.runtime, self.registry, self.site, self.tell = runtime, registry, site, tell
+        self.runtime, self.registry, self.site, self.publish = runtime, registry, site, publish
         self.document: Document | None = None
         self._deadline: Any = None
         members = {member: split_address(address) for member, address in part.members.items()}
@@ -56,7 +56,7 @@
                 "out": len(found.backends),
             },
         )
-        self.tell([self.event()])
+        self.publish([self.event()])
 
     def event(self) -> OperatorOverrides:
         """What the document says now, in objects; names that this deployment does not know mean nothing to it."""
@@ -66,7 +66,7 @@
         if self._deadline is not None:
             self._deadline.cancel()
         self._deadline = (
-            self.runtime.deadlines.set(min(later) - now, lambda: self.tell([self.event()]))
+            self.runtime.deadlines.set(min(later) - now, lambda: self.publish([self.event()]))
             if later
             else None
         )
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -37,13 +37,13 @@
 from lifthinge.memory.runtime import Runtime
 from lifthinge.outer_names import outer_name
 from lifthinge.service.environment import BadStart, Place, unfollowed
-from lifthinge.wire.collectors import Reception
-from lifthinge.wire.discovery import Discovery
-from lifthinge.wire.door import Door
-from lifthinge.wire.news import News
-from lifthinge.wire.peers import Peers
-from lifthinge.wire.probes import Probes
-from lifthinge.wire.relay import Relay
+from lifthinge.wire.discovery import DiscoveryClient
+from lifthinge.wire.inbound import InboundServer
+from lifthinge.wire.peers import PeerTransport
+from lifthinge.wire.probes import Prober
+from lifthinge.wire.relay_client import RelayClient
+from lifthinge.wire.relay_watch import RelayWatch
+from lifthinge.wire.translator import MessageTranslator
 
 log = logging.getLogger(__name__)
 WORK_REST = 250.0  # ms until a line of work that failed goes on
@@ -82,33 +82,40 @@
             Registry(),
             PendingOrders(),
         )
-        self.door = Door(place.site, self.registry)
-        self.reception = Reception(
-            runtime, self.door, _inbound(place), lambda: self.ready, self.tell
+        self.translator = MessageTranslator(place.site, self.registry)
+        self.inbound_server = InboundServer(
+            runtime, self.translator, _inbound(place), lambda: self.ready, self.publish
         )
-        self.relay = Relay(
+        self.relay = RelayClient(
             runtime,
-            self.door,
+            self.translator,
             self.pending_orders,
             place.relay,
-            lambda: self.tell([]),
+            lambda: self.publish([]),
             self._refused,
             self._given_up,
         )
-        self.news = News(
-            runtime, self.door, self.registry, self.pending_orders, place.relay, self._tell_news
+        self.relay_watch = RelayWatch(
+            runtime,
+            self.translator,
+            self.registry,
+            self.pending_orders,
+            place.relay,
+            self._tell_news,
         )
-        self.discovery = Discovery(
-            runtime, self.door, self.registry, place.discovery, self._tell_list
+        self.discovery = DiscoveryClient(
+            runtime, self.translator, self.registry, place.discovery, self._tell_list
         )
         self.agreed: Agreement | None = None
-        self.probes = Probes(runtime, self.door, self.registry, lambda found: self.tell([found]))
-        self.peers = Peers(
+        self.prober = Prober(
+            runtime, self.translator, self.registry, lambda found: self.publish([found])
+        )
+        self.peers = PeerTransport(
             runtime,
             list(place.peers),
             place.peers_all,
             place.site.controller_number,
-            lambda note: self.tell([note]),
+            lambda note: self.publish([note]),
         )
         self.ready = False  # it can decide, and knows what stands
         self._late = False  # discovery need not be waited for any longer
@@ -117,26 +124,26 @@
         self._tasks: dict[asyncio.Task, str] = {}
         self._carry: dict[type, Callable[[Any], None]] = {
             SetTimer: lambda o: self.runtime.deadlines.set(
-                o.delay_ms, lambda: self.tell([TimerDue(o.handle)])
+                o.delay_ms, lambda: self.publish([TimerDue(o.handle)])
             ),
-            Probe: lambda o: self.probes.probe(o.backend),
+            Probe: lambda o: self.prober.probe(o.backend),
             SendToPeers: lambda o: self.peers.send(o.peer, o.content),
-            RepeatCall: lambda o: self.relay.repeat(o.seal),
+            RepeatCall: lambda o: self.relay.allow_repeat(o.seal),
             LogDecision: lambda o: log.info("decided", {"what": o.text}),
             FollowFleetList: lambda o: self._follow(o.enabled),
             ForgetBackend: lambda o: self.registry.forget(o.backend),
-            FetchFleetList: lambda o: self._run("fetch", self.discovery.fetch),
+            FetchFleetList: lambda o: self._run("fetch", self.discovery.fetch_list),
         }
 
     async def start(self) -> None:
         found = self.discovery.known(self.place.known)
         if found:
             self.runtime.rate_limited_log.warning("known_unusable", why=found.why)
-        await self._bind("ROUTER_LISTEN", self.reception.open(self.place.listen))
+        await self._bind("ROUTER_LISTEN", self.inbound_server.open(self.place.listen))
         if self.place.peer_listen:
             await self._bind("peer_listen", self.peers.open(self.place.peer_listen))
         self._run("relay", self.relay.run)
-        self._run("news", self.news.run)
+        self._run("news", self.relay_watch.run)
         if not self.place.site.news_on_request:
             self._follow(True)
         if self.agreed is not None:
@@ -149,7 +156,7 @@
 
     def _tell_list(self, news: FleetNews) -> None:
         """A list may bring backends that the agreed document names."""
-        self.tell([news] if self.agreed is None else [news, self.agreed.event()])
+        self.publish([news] if self.agreed is None else [news, self.agreed.event()])
 
     def reload(self, new: Place) -> None:
         """Goes on by a new configuration: what has moved is met at its new address before the old is left."""
@@ -158,12 +165,12 @@
             replace(self.place, discovery=new.discovery, relay=new.relay),
         )
         if new.relay != former.relay:
-            self.relay.move(new.relay)
-            self.news.move(new.relay)
+            self.relay.change_address(new.relay)
+            self.relay_watch.change_address(new.relay)
         if new.discovery != former.discovery:
-            self.discovery.move(new.discovery)
+            self.discovery.change_address(new.discovery)
             if "follow" in self._tasks.values():
-                self._run("follow", self.discovery.follow, beside=True)
+                self._run("follow", self.discovery.watch_list, beside=True)
         self.runtime.counters.add("reloads")
         log.info(
             "reloaded",
@@ -184,18 +191,18 @@
 
     def stop(self) -> None:
         """Takes nothing more, and ends every connection."""
-        self.reception.close()
+        self.inbound_server.close()
         for task in self._tasks:
             task.cancel()
         self.relay.close()
-        self.news.close()
+        self.relay_watch.close()
         self.discovery.close()
-        self.probes.close()
+        self.prober.close()
         self.peers.close()
         if self.agreed is not None:
             self.agreed.close()
 
-    def tell(self, events: list[Event]) -> None:
+    def publish(self, events: list[Event]) -> None:
         """Takes in events; they are decided on together once this loop turn is over."""
         self._events += events
         if not self._turn_due:
@@ -218,13 +225,13 @@
                 if event.is_granted:
                     self.registry.leased_slices[event.slice] = None
             elif isinstance(event, SealConfirmed):
-                self.relay.confirmed(event.seal)
-        self.tell(events)
+                self.relay.on_seal_confirmed(event.seal)
+        self.publish(events)
 
     def _given_up(self, orders: list[Order]) -> None:
         """A whole call was given up: tables are told anew, withdrawals stand as they did before."""
-        self.news.renew()
-        self.tell(
+        self.relay_watch.resubscribe()
+        self.publish(
             [
                 WithdrawalState(one.backend, not one.is_withdrawn)
                 for one in orders
@@ -244,7 +251,7 @@
                 for backend, weight in order.slice.table.items()
                 if backend is not order.backend
             ]
-            self.tell(
+            self.publish(
                 [
                     FleetNews(FleetNewsKind.DELTA, [gone]),
                     SliceLeaseChanged(order.slice, True),
@@ -256,7 +263,9 @@
         events, self._events, self._turn_due = self._events, [], False
         began, way = (
             self.runtime.now,
-            ChannelState(not self.pending_orders, self.relay.unknown, self.relay.broken),
+            ChannelState(
+                not self.pending_orders, self.relay.unknown_seal, self.relay.is_broken_off
+            ),
         )
         try:
             orders = self.policy.decide(began, [way, *events])
@@ -266,20 +275,22 @@
             log.error("decision_failed", {"error": repr(error)}, exc_info=True)
             self.runtime.counters.add("decision_failed")
             self.ready = False
-            self.runtime.deadlines.set(self.place.terms.report_interval_ms, lambda: self.tell([]))
+            self.runtime.deadlines.set(
+                self.place.terms.report_interval_ms, lambda: self.publish([])
+            )
             return
         self.runtime.counters.add("decisions")
         self.runtime.counters.record_max("decision.longest_ms", round(self.runtime.now - began, 1))
-        given = [order for order in orders if self.door.is_order(order)]
+        given = [order for order in orders if self.translator.is_relay_order(order)]
         if given:
             for order in given:
                 self.runtime.counters.add(f"orders.{outer_name(type(order))}")
-            self.relay.give(given)
+            self.relay.submit(given)
         for order in orders:
-            if not self.door.is_order(order):
+            if not self.translator.is_relay_order(order):
                 self._carry[type(order)](order)
-        listed = self.discovery.answered or self._late or self.place.site.news_on_request
-        if not self.ready and self.news.has_initial_state and listed:
+        listed = self.discovery.has_answered or self._late or self.place.site.news_on_request
+        if not self.ready and self.relay_watch.has_initial_state and listed:
             self.ready = True
             log.info(
                 "ready",
@@ -289,15 +300,15 @@
                     "slices": len(self.registry.leased_slices),
                 },
             )
-            self.reception.answer_beats()
+            self.inbound_server.answer_heartbeats()
 
     def _wait_no_more(self) -> None:
         self._late = True
-        self.tell([])
+        self.publish([])
 
     def _follow(self, on: bool) -> None:
         if on:
-            self._run("follow", self.discovery.follow)
+            self._run("follow", self.discovery.watch_list)
         else:
             self._end("follow")
 
--- a/lifthinge/service/environment.py
+++ b/lifthinge/service/environment.py
@@ -7,7 +7,7 @@
 
 from lifthinge.interface import SiteSettings
 from lifthinge.settings import SettingsError, SiteLayout, read_layout, read_settings
-from lifthinge.wire.door import address
+from lifthinge.wire.translator import parse_address
 
 SOCKETS_LEAST, MEMORY_LEAST = 64, 24
 MEMORY_USUAL = 192  # MB, where the configuration says nothing
@@ -107,7 +107,7 @@
     if text is None:
         raise BadStart(key, "missing")
     try:
-        return address(text)
+        return parse_address(text)
     except ValueError as error:
         raise BadStart(key, str(error)) from None
 
--- a/lifthinge/service/run.py
+++ b/lifthinge/service/run.py
@@ -84,7 +84,7 @@
             controller.runtime,
             controller.registry,
             controller.place.site,
-            controller.tell,
+            controller.publish,
             keys,
         )
     )
@@ -121,7 +121,7 @@
         await controller.start()
         if hung_up:
             reload(controller)
-        where = "%s:%d" % controller.reception.where
+        where = "%s:%d" % controller.inbound_server.address
         log.info("started", {"name": place.name, "listen": where, "pid": os.getpid()})
         await over.wait()
     finally:
--- a/lifthinge/wire/buffer.py
+++ b/lifthinge/wire/buffer.py
@@ -2,14 +2,14 @@
 
 >>> buffer = Buffer(limit=16, first=4)
 >>> def put(data):
-...     view = buffer.room()
+...     view = buffer.writable_view()
 ...     view[:len(data)] = data
-...     buffer.wrote(len(data))
+...     buffer.commit_write(len(data))
 >>> put(b"abcd"); put(b"efgh"); bytes(buffer.take(3)), len(buffer), buffer.find(b"g")
 (b'abc', 5, 3)
->>> put(b"ijkl"); buffer.cut(1, 2); bytes(buffer.peek(0, 7)), buffer.full
+>>> put(b"ijkl"); buffer.remove(1, 2); bytes(buffer.peek(0, 7)), buffer.is_full
 (b'dghijkl', False)
->>> put(b"123456789"); buffer.full, len(buffer)
+>>> put(b"123456789"); buffer.is_full, len(buffer)
 (True, 16)
 """
 
@@ -28,10 +28,10 @@
         return self._end - self._start
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         return len(self) >= self.limit
 
-    def room(self) -> memoryview:
+    def writable_view(self) -> memoryview:
         """Free space to write to; more is made if it has run out, up to the limit."""
         if self._start == self._end:
             self._start = self._end = 0
@@ -48,7 +48,7 @@
             self._start, self._end = 0, held
         return memoryview(self._data)[self._end :]
 
-    def wrote(self, count: int) -> None:
+    def commit_write(self, count: int) -> None:
         self._end += count
 
     def find(self, what: bytes, start: int = 0) -> int:
@@ -64,7 +64,7 @@
         self._start += len(taken)
         return taken
 
-    def cut(self, at: int, count: int) -> None:
+    def remove(self, at: int, count: int) -> None:
         """Takes out bytes in the middle; what follows moves down."""
         first, last = self._start + at, self._start + at + count
         self._data[first : first + self._end - last] = self._data[last : self._end]
--- a/lifthinge/wire/client.py
+++ b/lifthinge/wire/client.py
@@ -7,28 +7,28 @@
 from lifthinge.memory.attempts import Failure, FailureCause, SendProgress
 from lifthinge.memory.runtime import PendingRequest, Runtime
 from lifthinge.wire.connection import Connection, connect
-from lifthinge.wire.http import BODY_MOST, HEAD_MOST, AnswerParser
+from lifthinge.wire.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, ResponseParser
 
 FRESH = 2_000.0  # ms that a kept connection may have stood idle: peers close them sooner or later
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     status: int
     body: bytes
 
 
-Result = Union[Answer, Failure]
+CallResult = Union[Response, Failure]
 
 
-def get(path: str) -> Callable[[tuple[str, int]], bytes]:
+def build_get(path: str) -> Callable[[tuple[str, int]], bytes]:
     """
-    >>> get("/health")(("10.0.0.1", 80))
+    >>> build_get("/health")(("10.0.0.1", 80))
     b'GET /health HTTP/1.1\\r\\nHost: 10.0.0.1:80\\r\\n\\r\\n'
     """
     return lambda where: f"GET {path} HTTP/1.1\r\nHost: {_host(where)}\r\n\r\n".encode()
 
 
-def post(path: str, body: bytes) -> Callable[[tuple[str, int]], bytes]:
+def build_post(path: str, body: bytes) -> Callable[[tuple[str, int]], bytes]:
     return lambda where: (
         (
             f"POST {path} HTTP/1.1\r\nHost: {_host(where)}\r\n"
@@ -46,26 +46,26 @@
     """Carries one request at a time."""
 
     def __init__(self, runtime: Runtime, kind: str) -> None:
-        super().__init__(runtime, BODY_MOST + HEAD_MOST)
+        super().__init__(runtime, MAX_BODY_BYTES + MAX_HEAD_BYTES)
         self.kind = kind
-        self.parser = AnswerParser(self.buffer)
+        self.parser = ResponseParser(self.buffer)
         self._request: int | None = None
         self.used_at = runtime.now
 
-    def ask(self, data: bytes, wait: float) -> "asyncio.Future[Result]":
+    def send_request(self, data: bytes, wait: float) -> "asyncio.Future[Result]":
         """Sends a request; the future brings its answer or how it failed, and never an exception."""
-        future: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
         deadline = self.runtime.deadlines.set(wait, lambda: self.fail(FailureCause.LATE))
         self._request = self.runtime.requests.put(
             PendingRequest(self.runtime.now, future, deadline)
         )
         self.runtime.counters.add(f"{self.kind}.asked")
         self.runtime.counters.record_max("requests.most", len(self.runtime.requests))
-        self.parser = AnswerParser(self.buffer)
+        self.parser = ResponseParser(self.buffer)
         if self._request is None:
             deadline.cancel()
             future.set_result(Failure(SendProgress.NOT_SENT, FailureCause.NO_CAPACITY))
-        elif self.lost:
+        elif self.is_closed:
             self._settle(Failure(SendProgress.NOT_SENT, FailureCause.BROKEN))
         else:
             self.write(data)
@@ -73,15 +73,19 @@
 
     def fail(self, cause: FailureCause, detail: str = "") -> None:
         """Ends the request, and the connection with it: a late answer must not pass for another's."""
-        reach = SendProgress.ANSWERED if cause is FailureCause.INVALID_RESPONSE else self.reach()
+        reach = (
+            SendProgress.ANSWERED
+            if cause is FailureCause.INVALID_RESPONSE
+            else self.send_progress()
+        )
         self.abort()
         self._settle(Failure(reach, cause, detail))
 
-    def reach(self) -> SendProgress:
+    def send_progress(self) -> SendProgress:
         """How far the request is known to have gone out."""
-        return SendProgress.PARTLY_SENT if self.unsent else SendProgress.FULLY_SENT
+        return SendProgress.PARTLY_SENT if self.has_unsent_data else SendProgress.FULLY_SENT
 
-    def received(self) -> None:
+    def on_data(self) -> None:
         if self._request is None:
             self.runtime.rate_limited_log.warning("unasked_bytes", kind=self.kind)
             self.abort()
@@ -89,13 +93,13 @@
         trouble = self.parser.advance()
         if trouble:
             self.fail(FailureCause.INVALID_RESPONSE, trouble)
-        elif self.parser.done:
+        elif self.parser.is_done:
             self.complete()
 
-    def ended(self) -> None:
+    def on_eof(self) -> None:
         if self._request is None:
             return
-        trouble = self.parser.ended()
+        trouble = self.parser.on_eof()
         if not trouble:
             self.complete()
         elif self.parser.status:
@@ -103,16 +107,16 @@
         else:
             self.fail(FailureCause.BROKEN, trouble)
 
-    def gone(self) -> None:
+    def on_closed(self) -> None:
         self.fail(FailureCause.BROKEN)
 
     def complete(self) -> None:
-        answer = Answer(self.parser.status, self.parser.take_body())
-        if not self.parser.keep:
+        answer = Response(self.parser.status, self.parser.take_body())
+        if not self.parser.keep_alive:
             self.abort()
         self._settle(answer)
 
-    def _settle(self, result: Result) -> None:
+    def _settle(self, result: CallResult) -> None:
         request = None if self._request is None else self.runtime.requests.free(self._request)
         self._request, self.used_at = None, self.runtime.now
         if request is None:
@@ -131,18 +135,18 @@
             request.future.set_result(result)
 
 
-class Caller:
+class HttpClient:
     """Calls to one address, one at a time; `where` may change between them, or while one is under way."""
 
     def __init__(self, runtime: Runtime, kind: str, where: tuple[str, int]) -> None:
-        self.runtime, self.kind, self.where = runtime, kind, where
-        self._kept: HttpConnection | None = None
+        self.runtime, self.kind, self.address = runtime, kind, where
+        self._connection: HttpConnection | None = None
         self._kept_where = where
 
-    async def call(self, request: Callable[[tuple[str, int]], bytes], wait: float) -> Result:
+    async def call(self, request: Callable[[tuple[str, int]], bytes], wait: float) -> CallResult:
         """Asks what `request` makes for the address: that of now, or the former one while only that is up."""
-        kept, where = self._kept, self.where
-        if kept is not None and (kept.lost or self.runtime.now - kept.used_at > FRESH):
+        kept, where = self._connection, self.address
+        if kept is not None and (kept.is_closed or self.runtime.now - kept.used_at > FRESH):
             kept = None
             self.close()
         if kept is None or self._kept_where != where:
@@ -151,20 +155,20 @@
             )
             if not isinstance(found, Failure):
                 self.close()
-                kept = self._kept = found
+                kept = self._connection = found
                 self._kept_where = where
-            elif kept is None or kept.lost:
+            elif kept is None or kept.is_closed:
                 self.runtime.counters.add(
                     f"{self.kind}.failed.{found.reach.value}.{found.cause.value}"
                 )
                 return found
         try:
-            return await kept.ask(request(self._kept_where), wait)
+            return await kept.send_request(request(self._kept_where), wait)
         except asyncio.CancelledError:  # called off: the answer, if it comes, is nobody's
             self.close()
             raise
 
     def close(self) -> None:
-        if self._kept is not None:
-            self._kept.abort()
-            self._kept = None
+        if self._connection is not None:
+            self._connection.abort()
+            self._connection = None
--- a/lifthinge/wire/connection.py
+++ b/lifthinge/wire/connection.py
@@ -18,23 +18,23 @@
     """Subclasses say what is done with what has come, at the peer's end, and when all is lost."""
 
     kind = "connection"
-    unread_most = UNREAD_MOST
+    max_unread_bytes = UNREAD_MOST
 
     def __init__(self, runtime: Runtime, limit: int, first: int = 4096) -> None:
         self.runtime, self.buffer = runtime, Buffer(limit, first)
         self.transport: asyncio.Transport | None = None
         self.handle: int | None = None
-        self.unsent = False  # bytes of ours have not left
-        self.lost = False
-        self.heard_at = runtime.now
+        self.has_unsent_data = False  # bytes of ours have not left
+        self.is_closed = False
+        self.last_received_at = runtime.now
 
-    def received(self) -> None:
+    def on_data(self) -> None:
         raise NotImplementedError
 
-    def ended(self) -> None:
+    def on_eof(self) -> None:
         """The peer sends no more."""
 
-    def gone(self) -> None:
+    def on_closed(self) -> None:
         """The connection is no more."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -48,45 +48,45 @@
             self.abort()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.buffer.room()
+        return self.buffer.writable_view()
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.buffer.wrote(nbytes)
-        self.heard_at = self.runtime.now
-        self._guard(self.received)
-        if self.buffer.full and not self.lost:
+        self.buffer.commit_write(nbytes)
+        self.last_received_at = self.runtime.now
+        self._guard(self.on_data)
+        if self.buffer.is_full and not self.is_closed:
             self.runtime.rate_limited_log.warning("buffer_full", kind=self.kind)
             self.abort()
 
     def eof_received(self) -> bool:
-        self._guard(self.ended)
+        self._guard(self.on_eof)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.lost = True
+        self.is_closed = True
         if self.handle is not None:
             self.runtime.connections.free(self.handle)
-        self._guard(self.gone)
+        self._guard(self.on_closed)
 
     def pause_writing(self) -> None:
-        self.unsent = True
+        self.has_unsent_data = True
 
     def resume_writing(self) -> None:
-        self.unsent = False
+        self.has_unsent_data = False
 
     def write(self, data: bytes) -> None:
-        if self.lost or self.transport is None or self.transport.is_closing():
-            self.unsent = True
+        if self.is_closed or self.transport is None or self.transport.is_closing():
+            self.has_unsent_data = True
             return
         self.transport.write(data)
-        if self.transport.get_write_buffer_size() > self.unread_most:
+        if self.transport.get_write_buffer_size() > self.max_unread_bytes:
             self.runtime.rate_limited_log.warning("peer_reads_nothing", kind=self.kind)
             self.abort()
 
     def abort(self) -> None:
         """Ends the connection; `gone` follows."""
-        if self.transport is not None and not self.lost:
-            self.lost = True
+        if self.transport is not None and not self.is_closed:
+            self.is_closed = True
             self.transport.abort()
 
     def _guard(self, step: Callable[[], None]) -> None:
@@ -119,6 +119,6 @@
         return Failure(SendProgress.NOT_SENT, FailureCause.UNREACHABLE, type(error).__name__)
     finally:
         deadline.cancel()
-    if connection.lost:
+    if connection.is_closed:
         return Failure(SendProgress.NOT_SENT, FailureCause.NO_CAPACITY)
     return connection
--- a/lifthinge/wire/discovery.py
+++ b/lifthinge/wire/discovery.py
@@ -8,10 +8,10 @@
 from lifthinge.memory.attempts import Failure, FailureCause, SendProgress
 from lifthinge.memory.registry import Registry
 from lifthinge.memory.runtime import Runtime
-from lifthinge.wire import names
-from lifthinge.wire.client import Caller, get
-from lifthinge.wire.door import Door
-from lifthinge.wire.frames import Skip, read_object
+from lifthinge.wire import protocol
+from lifthinge.wire.client import HttpClient, build_get
+from lifthinge.wire.frames import InvalidMessage, decode_object
+from lifthinge.wire.translator import MessageTranslator
 
 log = logging.getLogger(__name__)
 WATCH_WAIT = 4_000  # ms that a watch asks discovery to wait: a silent one is found out soon after
@@ -23,7 +23,7 @@
 OLDER = "older than the list held"
 
 
-class Discovery:
+class DiscoveryClient:
     """`tell` takes the fleet news. On a site that tells only when asked, nothing is asked unbidden.
 
     After a move the former watch goes on beside the new address's, until that has told its list.
@@ -32,21 +32,21 @@
     def __init__(
         self,
         runtime: Runtime,
-        door: Door,
+        translator: MessageTranslator,
         registry: Registry,
         where: tuple[str, int],
-        tell: Callable[[FleetNews], None],
+        publish: Callable[[FleetNews], None],
     ) -> None:
-        self.runtime, self.door, self.registry, self.where, self.tell = (
+        self.runtime, self.translator, self.registry, self.address, self.publish = (
             runtime,
-            door,
+            translator,
             registry,
             where,
-            tell,
+            publish,
         )
-        self.answered = False  # ever
-        self._watches: list[Caller] = []  # each of a line of watches, the newest last
-        self._list = Caller(runtime, "discovery_list", where)
+        self.has_answered = False  # ever
+        self._watches: list[HttpClient] = []  # each of a line of watches, the newest last
+        self._list = HttpClient(runtime, "discovery_list", where)
         self._spoilt = False  # the last answer had entries that could not be used
         self._older = range(0)  # versions below the one held that are believed of a list
 
@@ -54,13 +54,13 @@
         self._end_before(None)
         self._list.close()
 
-    def move(self, where: tuple[str, int]) -> None:
+    def change_address(self, where: tuple[str, int]) -> None:
         """What is asked from now on is asked there; a new line of watches is the caller's to start."""
-        self.where = self._list.where = where
+        self.address = self._list.address = where
 
-    async def follow(self) -> None:
+    async def watch_list(self) -> None:
         """Watches for good: for sites that push, or once a subscription has been asked for."""
-        watch, failures, since = Caller(self.runtime, "discovery_watch", self.where), 0, False
+        watch, failures, since = HttpClient(self.runtime, "discovery_watch", self.address), 0, False
         wait = WATCH_WAIT
         self._watches.append(watch)
         try:
@@ -84,8 +84,8 @@
                 failures, since = failures + 1, since and failure.detail != OLDER
                 if watch not in self._watches[-1:]:  # there is a newer address
                     return
-                if self.door.site.news_on_request:
-                    self.tell(FleetNews(FleetNewsKind.MISSED, []))
+                if self.translator.site.news_on_request:
+                    self.publish(FleetNews(FleetNewsKind.MISSED, []))
                     return
                 if failures > 1:
                     await self.runtime.pause(
@@ -95,28 +95,34 @@
             watch.close()
             self._watches = [one for one in self._watches if one is not watch]
 
-    def _end_before(self, watch: Caller | None) -> None:
+    def _end_before(self, watch: HttpClient | None) -> None:
         """A newer address has told its list: the watches at former ones are over."""
         while self._watches and self._watches[0] is not watch:
             self._watches.pop(0).close()
 
-    async def fetch(self) -> None:
+    async def fetch_list(self) -> None:
         """One call for the whole list."""
         if await self._call(self._list, False) is not None:
-            self.tell(FleetNews(FleetNewsKind.MISSED, []))
-
-    async def _call(self, caller: Caller, since: bool, wait: int = WATCH_WAIT) -> Failure | None:
-        path = names.LIST_PATH + (
-            f"?{names.SINCE}={self.registry.version}&{names.WAIT}={wait}" if since else ""
+            self.publish(FleetNews(FleetNewsKind.MISSED, []))
+
+    async def _call(
+        self, caller: HttpClient, since: bool, wait: int = WATCH_WAIT
+    ) -> Failure | None:
+        path = protocol.LIST_PATH + (
+            f"?{protocol.SINCE_VERSION}={self.registry.version}&{protocol.WATCH_TIMEOUT_MS}={wait}"
+            if since
+            else ""
         )
-        result = await caller.call(get(path), ANSWER_WAIT + (wait if since else 0))
+        result = await caller.call(build_get(path), ANSWER_WAIT + (wait if since else 0))
         if not isinstance(result, Failure):
             message = (
-                read_object(result.body)
+                decode_object(result.body)
                 if result.status == 200
-                else Skip(f"status {result.status}")
+                else InvalidMessage(f"status {result.status}")
+            )
+            trouble = (
+                message if isinstance(message, InvalidMessage) else self._take(message, not since)
             )
-            trouble = message if isinstance(message, Skip) else self._take(message, not since)
             if trouble is None:
                 return None
             result = Failure(SendProgress.ANSWERED, FailureCause.INVALID_RESPONSE, trouble.why)
@@ -129,30 +135,30 @@
             )
         return result
 
-    def known(self, message: dict) -> Skip | None:
+    def known(self, message: dict) -> InvalidMessage | None:
         """Takes the list that this controller last held, maybe out of date."""
-        found = self.door.version(message)
-        if isinstance(found, Skip):
+        found = self.translator.version(message)
+        if isinstance(found, InvalidMessage):
             return found
         listings, _ = self._read(found[2])
         self.registry.version = found[0]
         self._keep(listings)
-        self.tell(FleetNews(FleetNewsKind.CACHED, listings))
+        self.publish(FleetNews(FleetNewsKind.CACHED, listings))
         return None
 
-    def _take(self, message: dict, first: bool) -> Skip | None:
+    def _take(self, message: dict, first: bool) -> InvalidMessage | None:
         """Takes a list or its changes; the first answer of a subscription is told though nothing changed.
 
         A list older than the one held may come from an agent that is behind, or that counts anew: it is
         believed if asked for again it is no older, and not empty.
         """
-        found = self.door.version(message)
-        if isinstance(found, Skip):
+        found = self.translator.version(message)
+        if isinstance(found, InvalidMessage):
             return found
         version, whole, entries = found
         if version < self.registry.version and not (whole and entries and version in self._older):
             self._older = range(version, self.registry.version) if first else self._older
-            return Skip(OLDER)
+            return InvalidMessage(OLDER)
         self._older = range(0)
         listings, named = self._read(entries)
         changed = [
@@ -167,10 +173,10 @@
                 for one in self.registry.listings.values()
                 if one.backend.backend_id not in named
             ]
-        self.registry.version, self.answered = version, True
+        self.registry.version, self.has_answered = version, True
         self._keep(changed)
         if changed or first:
-            self.tell(FleetNews(FleetNewsKind.DELTA, changed))
+            self.publish(FleetNews(FleetNewsKind.DELTA, changed))
         return None
 
     def _read(self, entries: list) -> tuple[list[Listing], set]:
@@ -182,14 +188,14 @@
         listings, named = (
             [],
             {
-                entry.get(names.ID)
+                entry.get(protocol.BACKEND_ID)
                 for entry in entries
-                if isinstance(entry, dict) and isinstance(entry.get(names.ID), str)
+                if isinstance(entry, dict) and isinstance(entry.get(protocol.BACKEND_ID), str)
             },
         )
         for entry in entries:
-            listing = self.door.listing(entry)
-            if isinstance(listing, Skip):
+            listing = self.translator.read_listing(entry)
+            if isinstance(listing, InvalidMessage):
                 self.runtime.rate_limited_log.warning("bad_listing", why=listing.why)
                 self._spoilt = True
                 listing = self._leaving(entry)
@@ -199,8 +205,8 @@
 
     def _leaving(self, entry: object) -> Listing | None:
         """A backend that is listed, as an entry that is spoilt elsewhere has it drain or gone."""
-        found = self.door.leaving(entry)
-        former = None if isinstance(found, Skip) else self.registry.listings.get(found[0])
+        found = self.translator.read_leaving(entry)
+        former = None if isinstance(found, InvalidMessage) else self.registry.listings.get(found[0])
         return former and replace(former, phase=found[1])
 
     def _keep(self, listings: list[Listing]) -> None:
--- a/lifthinge/wire/frames.py
+++ b/lifthinge/wire/frames.py
@@ -2,16 +2,16 @@
 
 >>> from lifthinge.wire.buffer import Buffer
 >>> def feed(data):
-...     buffer = Buffer(FRAME_MOST + 4)
-...     buffer.room()[:len(data)] = data
-...     buffer.wrote(len(data))
+...     buffer = Buffer(MAX_FRAME_BYTES + 4)
+...     buffer.writable_view()[:len(data)] = data
+...     buffer.commit_write(len(data))
 ...     return read_frame(buffer)
->>> feed(pack({"t": "hb"})), feed(pack({"t": "hb"})[:-1]), feed(b"\\0\\0")
+>>> feed(encode_frame({"t": "hb"})), feed(encode_frame({"t": "hb"})[:-1]), feed(b"\\0\\0")
 ({'t': 'hb'}, None, None)
->>> all(feed(pack({"t": "hb", "n": 1})[:cut]) is None for cut in range(len(pack({"t": "hb", "n": 1}))))
+>>> all(feed(encode_frame({"t": "hb", "n": 1})[:cut]) is None for cut in range(len(encode_frame({"t": "hb", "n": 1}))))
 True
 >>> feed(b"\\0\\0\\0\\0"), feed(b"\\0\\x10\\0\\1"), feed(b"\\0\\0\\0\\2[]"), feed(b"\\0\\0\\0\\3{a}")
-(Lost(why='length 0'), Lost(why='length 1048577'), Skip(why='not an object'), Lost(why='not JSON'))
+(FramingLost(why='length 0'), FramingLost(why='length 1048577'), Skip(why='not an object'), FramingLost(why='not JSON'))
 """
 
 import json
@@ -19,47 +19,47 @@
 
 from lifthinge.wire.buffer import Buffer
 
-FRAME_MOST = 1 << 20
+MAX_FRAME_BYTES = 1 << 20
 
 
-class Lost(NamedTuple):
+class FramingLost(NamedTuple):
     """The framing is lost, or what it frames is no JSON: nothing more can be read."""
 
     why: str
 
 
-class Skip(NamedTuple):
+class InvalidMessage(NamedTuple):
     """This message can't be used; the next one may."""
 
     why: str
 
 
-NO_JSON = Skip("not JSON")
+NO_JSON = InvalidMessage("not JSON")
 
 
-def pack(message: dict[str, Any]) -> bytes:
+def encode_frame(message: dict[str, Any]) -> bytes:
     body = json.dumps(message, separators=(",", ":")).encode()
     return len(body).to_bytes(4, "big") + body
 
 
-def read_object(text: bytes) -> dict | Skip:
+def decode_object(text: bytes) -> dict | InvalidMessage:
     """One JSON object out of untrusted bytes."""
     try:
         found = json.loads(text)
     except (ValueError, RecursionError):
         return NO_JSON
-    return found if isinstance(found, dict) else Skip("not an object")
+    return found if isinstance(found, dict) else InvalidMessage("not an object")
 
 
-def read_frame(buffer: Buffer) -> dict | Lost | Skip | None:
+def read_frame(buffer: Buffer) -> dict | FramingLost | InvalidMessage | None:
     """The next message; None until it has come whole. One that the buffer will never hold is lost at once."""
     if len(buffer) < 4:
         return None
     length = int.from_bytes(buffer.peek(0, 4), "big")
     if not 0 < length <= buffer.limit - 4:
-        return Lost(f"length {length}")
+        return FramingLost(f"length {length}")
     if len(buffer) < 4 + length:
         return None
     buffer.take(4)
-    found = read_object(buffer.take(length))
-    return Lost(found.why) if found == NO_JSON else found
+    found = decode_object(buffer.take(length))
+    return FramingLost(found.why) if found == NO_JSON else found
--- a/lifthinge/wire/http.py
+++ b/lifthinge/wire/http.py
@@ -4,16 +4,16 @@
 
 >>> from lifthinge.wire.buffer import Buffer
 >>> def play(data, step=1, ends=False):
-...     parser = AnswerParser(Buffer(1 << 16))
+...     parser = ResponseParser(Buffer(1 << 16))
 ...     for at in range(0, len(data), step):
 ...         piece = data[at:at + step]
-...         parser.buffer.room()[:len(piece)] = piece
-...         parser.buffer.wrote(len(piece))
+...         parser.buffer.writable_view()[:len(piece)] = piece
+...         parser.buffer.commit_write(len(piece))
 ...         trouble = parser.advance()
 ...         if trouble:
 ...             return trouble
-...     trouble = parser.ended() if ends else None
-...     return trouble or (parser.done, parser.status, parser.keep, parser.take_body())
+...     trouble = parser.on_eof() if ends else None
+...     return trouble or (parser.is_done, parser.status, parser.keep_alive, parser.take_body())
 >>> counted = b"HTTP/1.1 200 OK\\r\\nContent-Length: 5\\r\\n\\r\\nhello"
 >>> chunked = (b"HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n"
 ...            b"3;x=y\\r\\nhel\\r\\n2\\r\\nlo\\r\\n0\\r\\nA: b\\r\\n\\r\\n")
@@ -57,8 +57,8 @@
 
 from lifthinge.wire.buffer import Buffer
 
-HEAD_MOST = 8192
-BODY_MOST = 1 << 20
+MAX_HEAD_BYTES = 8192
+MAX_BODY_BYTES = 1 << 20
 _STATUS = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9]{2})(?: [^\r\n]*)?")
 _HEADER = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*(.*?)[ \t]*")
 _CHUNK = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;.*)?")
@@ -75,12 +75,12 @@
     DONE = 8
 
 
-class AnswerParser:
+class ResponseParser:
     """One answer's progress; trouble is a text that says what is wrong."""
 
     def __init__(self, buffer: Buffer) -> None:
         self.buffer = buffer
-        self.state, self.status, self.keep = State.HEAD, 0, True
+        self.state, self.status, self.keep_alive = State.HEAD, 0, True
         self.body = 0  # decoded bytes at the front of the buffer
         self._left = 0  # bytes of the body, or of the chunk, still to come
         self._head = 0  # bytes of head lines so far
@@ -88,25 +88,25 @@
         self._coding = b""
 
     @property
-    def done(self) -> bool:
+    def is_done(self) -> bool:
         return self.state is State.DONE
 
     def advance(self) -> str | None:
         """Reads as far as the buffer goes."""
-        while not self.done:
+        while not self.is_done:
             before = self.state, self.body, self._head, len(self.buffer)
             trouble = self._step()
             if trouble:
                 return trouble
             if before == (self.state, self.body, self._head, len(self.buffer)):
-                return "answer too long" if self.buffer.full else None
+                return "answer too long" if self.buffer.is_full else None
         return "bytes after the answer" if len(self.buffer) > self.body else None
 
-    def ended(self) -> str | None:
+    def on_eof(self) -> str | None:
         """The peer sends no more."""
         if self.state is State.TO_CLOSE:
             self.state = State.DONE
-        return None if self.done else "early close"
+        return None if self.is_done else "early close"
 
     def take_body(self) -> bytes:
         taken, self.body = self.buffer.take(self.body), 0
@@ -129,10 +129,12 @@
             if self.state is State.HEAD and not self.status and not b"HTTP/".startswith(first):
                 return "bad status line"
             return (
-                "head too long" if len(self.buffer) - self.body + self._head > HEAD_MOST else None
+                "head too long"
+                if len(self.buffer) - self.body + self._head > MAX_HEAD_BYTES
+                else None
             )
         self._head += len(line) + 1
-        if self._head > HEAD_MOST:
+        if self._head > MAX_HEAD_BYTES:
             return "head too long"
         if self.state is State.HEAD:
             return self._read_head(line)
@@ -151,7 +153,7 @@
         if at < 0:
             return None
         line = self.buffer.peek(self.body, at)
-        self.buffer.cut(self.body, at + 1 - self.body)
+        self.buffer.remove(self.body, at + 1 - self.body)
         return line.removesuffix(b"\r")
 
     def _read_head(self, line: bytes) -> str | None:
@@ -159,7 +161,7 @@
             found = _STATUS.fullmatch(line)
             if not found:
                 return "bad status line"
-            self.keep, self.status = found[1] == b"1", int(found[2])
+            self.keep_alive, self.status = found[1] == b"1", int(found[2])
             return None
         if not line:
             return self._end_head()
@@ -172,7 +174,7 @@
         elif name == b"transfer-encoding":
             self._coding = value
         elif name == b"connection" and b"close" in value:
-            self.keep = False
+            self.keep_alive = False
         return None
 
     def _end_head(self) -> str | None:
@@ -188,14 +190,14 @@
             self.state = State.SIZE
             return None if self._coding == b"chunked" else "bad transfer encoding"
         if not self._lengths:
-            self.state, self.keep = State.TO_CLOSE, False
+            self.state, self.keep_alive = State.TO_CLOSE, False
             return None
         length = self._lengths.pop()
         if self._lengths or not length.isdigit():
             return "bad length"
         self._left = int(length[:12])
         self.state = State.COUNTED if self._left else State.DONE
-        return "body too long" if self._left > BODY_MOST else None
+        return "body too long" if self._left > MAX_BODY_BYTES else None
 
     def _read_size(self, line: bytes) -> str | None:
         found = _CHUNK.fullmatch(line)
@@ -203,13 +205,13 @@
             return "bad chunk size"
         self._left = int(found[1], 16)
         self.state = State.CHUNK if self._left else State.TRAILER
-        return "body too long" if self.body + self._left > BODY_MOST else None
+        return "body too long" if self.body + self._left > MAX_BODY_BYTES else None
 
     def _read_body(self) -> str | None:
         here = len(self.buffer) - self.body
         if self.state is State.TO_CLOSE:
             self.body += here
-            return "body too long" if self.body > BODY_MOST else None
+            return "body too long" if self.body > MAX_BODY_BYTES else None
         took = min(here, self._left)
         self.body += took
         self._left -= took
--- a/lifthinge/wire/collectors.py
+++ b/lifthinge/wire/inbound.py
@@ -9,10 +9,16 @@
 from lifthinge.memory.deadlines import Deadline
 from lifthinge.memory.runtime import Runtime
 from lifthinge.outer_names import outer_name
-from lifthinge.wire import names
+from lifthinge.wire import protocol
 from lifthinge.wire.connection import Connection
-from lifthinge.wire.door import Door
-from lifthinge.wire.frames import FRAME_MOST, Lost, Skip, pack, read_frame
+from lifthinge.wire.frames import (
+    MAX_FRAME_BYTES,
+    FramingLost,
+    InvalidMessage,
+    encode_frame,
+    read_frame,
+)
+from lifthinge.wire.translator import MessageTranslator
 
 STRANGER_MOST = 4 << 10  # bytes of a message from one that has not joined
 COLLECTORS_MOST = 8  # of one zone; the oldest gives way
@@ -33,14 +39,14 @@
     PARTED = 3  # nothing that it says is heard any more
 
 
-class Reporter(Connection):
+class InboundConnection(Connection):
     """One connection that came in."""
 
     kind = "inbound"
 
-    def __init__(self, reception: "Reception") -> None:
-        super().__init__(reception.runtime, STRANGER_MOST + 4, STRANGER_MOST // 4)
-        self.reception = reception
+    def __init__(self, inbound_server: "Reception") -> None:
+        super().__init__(inbound_server.runtime, STRANGER_MOST + 4, STRANGER_MOST // 4)
+        self.inbound_server = inbound_server
         self.state, self.zone = State.STRANGER, -1
         self.owes_beat = False
         self._overdue = False  # it stays only for the sign of life that is owed
@@ -51,38 +57,38 @@
         transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER
         )
-        if not self.lost:
+        if not self.is_closed:
             self._deadline = self.runtime.deadlines.set(JOIN_WAIT, self._not_joined)
-            self.reception.came(self)
+            self.inbound_server.came(self)
 
-    def received(self) -> None:
-        while not self.lost and self.state is not State.PARTED:
+    def on_data(self) -> None:
+        while not self.is_closed and self.state is not State.PARTED:
             message = read_frame(self.buffer)
             if message is None:
                 return
-            if isinstance(message, Lost):
+            if isinstance(message, FramingLost):
                 self.runtime.rate_limited_log.warning("framing_lost", why=message.why)
                 self.part()
                 return
-            trouble = message if isinstance(message, Skip) else self._use(message)
+            trouble = message if isinstance(message, InvalidMessage) else self._use(message)
             if trouble:
                 self.runtime.rate_limited_log.warning("bad_message", why=trouble.why)
                 if self.state is State.STRANGER:
                     self.part()
 
-    def ended(self) -> None:
+    def on_eof(self) -> None:
         if len(self.buffer) and self.state is not State.PARTED:
             self.runtime.rate_limited_log.warning("framing_lost", why="cut short")
 
-    def gone(self) -> None:
+    def on_closed(self) -> None:
         if self._deadline:
             self._deadline.cancel()
-        self.reception.left(self)
+        self.inbound_server.left(self)
 
     def beat(self) -> None:
         self.owes_beat = False
         self.runtime.counters.add("beats.answered")
-        self.write(pack({names.KIND: names.BEAT_ANSWER}))
+        self.write(encode_frame({protocol.MESSAGE_TYPE: protocol.HEARTBEAT_REPLY}))
         if self._overdue:
             self._close()
 
@@ -90,7 +96,7 @@
         """Turns away whoever may not stay: with a word to one that never joined, and at once."""
         if self.state is State.STRANGER:
             self.runtime.counters.add("inbound.rejected")
-            self.write(pack({names.KIND: names.REJECT}))
+            self.write(encode_frame({protocol.MESSAGE_TYPE: protocol.REJECT}))
         self._close()
 
     def _close(self) -> None:
@@ -98,39 +104,39 @@
         self.state = State.PARTED
         if self._deadline:
             self._deadline.cancel()
-        if not self.lost:
+        if not self.is_closed:
             self.transport.close()
             self._deadline = self.runtime.deadlines.set(PARTING, self.abort)
 
-    def _use(self, message: dict) -> Skip | None:
-        kind = message.get(names.KIND)
-        if kind == names.BEAT:
+    def _use(self, message: dict) -> InvalidMessage | None:
+        kind = message.get(protocol.MESSAGE_TYPE)
+        if kind == protocol.HEARTBEAT:
             self.runtime.counters.add("beats.asked")
             self.owes_beat = True
-            if self.reception.ready():
+            if self.inbound_server.ready():
                 self.beat()
             return None
-        if kind == names.COLLECTOR:
-            zone = self.reception.door.zone(message)
-            if isinstance(zone, Skip):
+        if kind == protocol.COLLECTOR_HELLO:
+            zone = self.inbound_server.translator.read_zone(message)
+            if isinstance(zone, InvalidMessage):
                 return zone
             self._join(zone)
             return None
-        event = self.reception.door.report(message)
-        if isinstance(event, Skip):
+        event = self.inbound_server.translator.read_report(message)
+        if isinstance(event, InvalidMessage):
             return event
         if self.state is State.STRANGER:
-            return Skip("a report before the zone")
+            return InvalidMessage("a report before the zone")
         self.runtime.counters.add(f"reports.{outer_name(type(event))}")
-        self.reception.tell([event])
+        self.inbound_server.publish([event])
         return None
 
     def _join(self, zone: int) -> None:
         if self.state is State.STRANGER:
             self._deadline.cancel()
             self._deadline = self.runtime.deadlines.set(IDLE_MOST, self._idle)
-        self.state, self.zone, self.buffer.limit = State.JOINED, zone, FRAME_MOST + 4
-        self.reception.collects(self)
+        self.state, self.zone, self.buffer.limit = State.JOINED, zone, MAX_FRAME_BYTES + 4
+        self.inbound_server.collects(self)
 
     def _not_joined(self) -> None:
         self.runtime.counters.add("inbound.not_joined")
@@ -141,7 +147,7 @@
             self._close()
 
     def _idle(self) -> None:
-        rest = self.heard_at + IDLE_MOST - self.runtime.now
+        rest = self.last_received_at + IDLE_MOST - self.runtime.now
         if rest > 0:
             self._deadline = self.runtime.deadlines.set(rest, self._idle)
         else:
@@ -149,20 +155,26 @@
             self.abort()
 
 
-class Reception:
+class InboundServer:
     """Who has come in; the oldest that has not joined gives way to newcomers, collectors last of all."""
 
     def __init__(
         self,
         runtime: Runtime,
-        door: Door,
+        translator: MessageTranslator,
         most: int,
         ready: Callable[[], bool],
-        tell: Callable[[list[Event]], None],
+        publish: Callable[[list[Event]], None],
     ) -> None:
-        self.runtime, self.door, self.most, self.ready, self.tell = runtime, door, most, ready, tell
-        self._strangers: dict[Reporter, None] = {}  # oldest first
-        self._joined: dict[Reporter, None] = {}
+        self.runtime, self.translator, self.max_connections, self.ready, self.publish = (
+            runtime,
+            translator,
+            most,
+            ready,
+            publish,
+        )
+        self._strangers: dict[InboundConnection, None] = {}  # oldest first
+        self._joined: dict[InboundConnection, None] = {}
         self._server: asyncio.Server | None = None
 
     async def open(self, where: tuple[str, int]) -> None:
@@ -170,14 +182,14 @@
         family = socket.AF_INET6 if ":" in where[0] else socket.AF_INET
         listener = socket.create_server(where, family=family, backlog=ACCEPT_QUEUE)
         listener.setblocking(False)
-        at_once = max(min(self.most // ACCEPTED_PART, ACCEPTED_MOST), 1)
+        at_once = max(min(self.max_connections // ACCEPTED_PART, ACCEPTED_MOST), 1)
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: Reporter(self), sock=listener, backlog=at_once
+            lambda: InboundConnection(self), sock=listener, backlog=at_once
         )
         listener.listen(ACCEPT_QUEUE)  # the loop has set the one figure for both
 
     @property
-    def where(self) -> tuple[str, int]:
+    def address(self) -> tuple[str, int]:
         return self._server.sockets[0].getsockname()[:2]
 
     def close(self) -> None:
@@ -186,29 +198,29 @@
         for one in [*self._strangers, *self._joined]:
             one.abort()
 
-    def came(self, one: Reporter) -> None:
-        if len(self._strangers) + len(self._joined) >= self.most:
+    def came(self, one: InboundConnection) -> None:
+        if len(self._strangers) + len(self._joined) >= self.max_connections:
             oldest = next((other for other in self._strangers if not other.owes_beat), None) or min(
-                self._strangers or self._joined, key=lambda other: other.heard_at
+                self._strangers or self._joined, key=lambda other: other.last_received_at
             )
             self.runtime.counters.add("inbound.crowded_out")
             self.left(oldest)
             oldest.part()
         self._strangers[one] = None
 
-    def left(self, one: Reporter) -> None:
+    def left(self, one: InboundConnection) -> None:
         self._strangers.pop(one, None)
         self._joined.pop(one, None)
 
-    def collects(self, one: Reporter) -> None:
+    def collects(self, one: InboundConnection) -> None:
         self.left(one)
         self._joined[one] = None
-        same = [other for other in self._joined if other.zone == one.zone and not other.lost]
+        same = [other for other in self._joined if other.zone == one.zone and not other.is_closed]
         if len(same) > COLLECTORS_MOST:
             self.runtime.counters.add("inbound.crowded_out")
-            min(same, key=lambda other: other.heard_at).abort()
+            min(same, key=lambda other: other.last_received_at).abort()
 
-    def answer_beats(self) -> None:
+    def answer_heartbeats(self) -> None:
         """Answers those who asked before there was anything to answer."""
         for one in [*self._strangers, *self._joined]:
             if one.owes_beat:
--- a/lifthinge/wire/peers.py
+++ b/lifthinge/wire/peers.py
@@ -9,7 +9,7 @@
 DATAGRAM_MOST = 256
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerTransport(asyncio.DatagramProtocol):
     """Knows its peers by the address that each sends from."""
 
     def __init__(
@@ -18,14 +18,14 @@
         peers: list[tuple[str, int]],
         everyone: tuple[str, int] | None,
         own: int,
-        tell: Callable[[PeerMessage], None],
+        publish: Callable[[PeerMessage], None],
     ) -> None:
-        self.runtime, self.peers, self.everyone, self.own, self.tell = (
+        self.runtime, self.peers, self.everyone, self.own, self.publish = (
             runtime,
             peers,
             everyone,
             own,
-            tell,
+            publish,
         )
         self._numbers = {where: number for number, where in enumerate(peers)}
         self._transport: asyncio.DatagramTransport | None = None
@@ -65,7 +65,7 @@
             self.runtime.rate_limited_log.warning("datagram_too_long", bytes=len(data))
         else:
             self.runtime.counters.add("peers.heard")
-            self.tell(PeerMessage(number, data))
+            self.publish(PeerMessage(number, data))
 
     def error_received(self, exc: Exception) -> None:
         self.runtime.counters.add("peers.errors")
--- a/lifthinge/wire/probes.py
+++ b/lifthinge/wire/probes.py
@@ -8,28 +8,37 @@
 from lifthinge.memory.attempts import Failure, FailureCause
 from lifthinge.memory.registry import Registry
 from lifthinge.memory.runtime import Runtime
-from lifthinge.wire import names
-from lifthinge.wire.client import Answer, Caller, get
-from lifthinge.wire.door import Door, read_load
+from lifthinge.wire import protocol
+from lifthinge.wire.client import HttpClient, Response, build_get
+from lifthinge.wire.translator import MessageTranslator, read_load
 
 PROBE_WAIT = 400.0
 PROBES_MOST = 32  # at once
 _PAIR = re.compile(rb"([A-Za-z_]+) *= *([0-9.eE+-]+)")
 
 
-class Probes:
+class Prober:
     """Each probe has a connection of its own, so none waits for another."""
 
     def __init__(
-        self, runtime: Runtime, door: Door, registry: Registry, tell: Callable[[ProbeResult], None]
+        self,
+        runtime: Runtime,
+        translator: MessageTranslator,
+        registry: Registry,
+        publish: Callable[[ProbeResult], None],
     ) -> None:
-        self.runtime, self.door, self.registry, self.tell = runtime, door, registry, tell
+        self.runtime, self.translator, self.registry, self.publish = (
+            runtime,
+            translator,
+            registry,
+            publish,
+        )
         self._running: dict[asyncio.Task, Backend] = {}
 
     def probe(self, backend: Backend) -> None:
         if backend in self._running.values():
             self.runtime.counters.add("probe.doubled")
-        elif not self.door.site.sends_probes or backend not in self.registry.addresses:
+        elif not self.translator.site.sends_probes or backend not in self.registry.addresses:
             self.runtime.counters.add("probe.not_to_be_had")
         elif len(self._running) >= PROBES_MOST:
             self.runtime.counters.add("probe.no_room")
@@ -43,30 +52,30 @@
             task.cancel()
 
     async def _one(self, backend: Backend) -> None:
-        began, fields = self.runtime.now, self.door.site.load_fields
-        caller = Caller(self.runtime, "probe", self.registry.addresses[backend])
-        path = names.LOAD_PATH if fields else names.HEALTH_PATH
+        began, fields = self.runtime.now, self.translator.site.load_fields
+        caller = HttpClient(self.runtime, "probe", self.registry.addresses[backend])
+        path = protocol.LOAD_PATH if fields else protocol.HEALTH_PATH
         try:
-            result = await caller.call(get(path), PROBE_WAIT)
+            result = await caller.call(build_get(path), PROBE_WAIT)
         finally:
             caller.close()
         load = (
             read_load(read_text(result.body), fields)
-            if isinstance(result, Answer) and fields
+            if isinstance(result, Response) and fields
             else ()
         )
-        self.tell(ProbeResult(backend, outcome(result), self.runtime.now - began, load))
+        self.publish(ProbeResult(backend, outcome(result), self.runtime.now - began, load))
 
 
-def outcome(result: Answer | Failure) -> ProbeOutcome:
+def outcome(result: Response | Failure) -> ProbeOutcome:
     """
-    >>> [outcome(Answer(status, b"")).value for status in (200, 503, 500)]
+    >>> [outcome(Response(status, b"")).value for status in (200, 503, 500)]
     ['ok', 'pushed_back', 'aborted']
     >>> from lifthinge.memory.attempts import SendProgress
     >>> [outcome(Failure(SendProgress.NOT_SENT, cause)).value for cause in FailureCause]
     ['unreachable', 'unreachable', 'late', 'broken', 'aborted', 'unreachable', 'unreachable', 'unreachable']
     """
-    if isinstance(result, Answer):
+    if isinstance(result, Response):
         return {200: ProbeOutcome.OK, 503: ProbeOutcome.PUSHED_BACK}.get(
             result.status, ProbeOutcome.ABORTED
         )
--- a/lifthinge/wire/relay.py
+++ b/lifthinge/wire/relay_client.py
@@ -13,10 +13,10 @@
 from lifthinge.memory.attempts import Failure, FailureCause
 from lifthinge.memory.pending_orders import PendingOrder, PendingOrders
 from lifthinge.memory.runtime import Runtime
-from lifthinge.wire import names
-from lifthinge.wire.client import Answer, Caller, Result, post
-from lifthinge.wire.door import Door
-from lifthinge.wire.frames import read_object
+from lifthinge.wire import protocol
+from lifthinge.wire.client import CallResult, HttpClient, Response, build_post
+from lifthinge.wire.frames import decode_object
+from lifthinge.wire.translator import MessageTranslator
 
 CALL_MOST = 60_000  # bytes of orders in a call
 ANSWER_WAIT = 200.0  # ms: an answer comes within 50 or never
@@ -25,7 +25,7 @@
 ERRORS_MOST = 5  # answers in a row that are errors, before a call is given up
 
 
-class Relay:
+class RelayClient:
     """`changed` is called when all orders given are settled, or one call's fate becomes unknown.
 
     `refused` takes an order that the relay can't use, `given_up` those of a whole call.
@@ -34,43 +34,48 @@
     def __init__(
         self,
         runtime: Runtime,
-        door: Door,
+        translator: MessageTranslator,
         pending_orders: PendingOrders,
         where: tuple[str, int],
         changed: Callable[[], None],
         refused: Callable[[Order], None],
         given_up: Callable[[list[Order]], None],
     ) -> None:
-        self.runtime, self.door, self.pending_orders = runtime, door, pending_orders
+        self.runtime, self.translator, self.pending_orders = runtime, translator, pending_orders
         self.changed, self.refused, self.given_up = changed, refused, given_up
-        self.unknown = 0  # the seal of a call whose fate is unknown, until it goes out again
-        self.broken = False  # whether it broke off; else the relay was silent or could not be read
-        self._caller = Caller(runtime, "relay_call", where)
+        self.unknown_seal = 0  # the seal of a call whose fate is unknown, until it goes out again
+        self.is_broken_off = (
+            False  # whether it broke off; else the relay was silent or could not be read
+        )
+        self._client = HttpClient(runtime, "relay_call", where)
         self._given, self._known = asyncio.Event(), asyncio.Event()
         self._failures = self._errors = 0  # in a row
 
-    def give(self, orders: Iterable[Order]) -> None:
+    def submit(self, orders: Iterable[Order]) -> None:
         self.pending_orders.add(
             [
-                (order, json.dumps(self.door.order(order), separators=(",", ":")).encode())
+                (
+                    order,
+                    json.dumps(self.translator.encode_order(order), separators=(",", ":")).encode(),
+                )
                 for order in orders
             ]
         )
         self._given.set()
 
-    def move(self, where: tuple[str, int]) -> None:
+    def change_address(self, where: tuple[str, int]) -> None:
         """The next call goes there; one under way ends where it began, or its fate is unknown."""
-        self._caller.where = where
+        self._client.address = where
 
-    def repeat(self, seal: int) -> None:
+    def allow_repeat(self, seal: int) -> None:
         """The call may go out again."""
-        if self.unknown == seal:
+        if self.unknown_seal == seal:
             self.runtime.counters.add("relay_call.repeated")
             self._end_doubt()
 
-    def confirmed(self, seal: int) -> None:
+    def on_seal_confirmed(self, seal: int) -> None:
         """A proxy has answered a seal: if its call's fate was unknown, it ran."""
-        if self.unknown == seal:
+        if self.unknown_seal == seal:
             self.runtime.counters.add("relay_call.shown_to_have_run")
             self.pending_orders.settle(self._front())
             self._failures = self._errors = 0
@@ -80,19 +85,24 @@
         while True:
             await self._given.wait()
             while call := self._front():
-                body = b'{"%s":[%s]}' % (names.ORDERS.encode(), b",".join(one.body for one in call))
-                result = await self._caller.call(post(names.CALL_PATH, body), ANSWER_WAIT)
+                body = b'{"%s":[%s]}' % (
+                    protocol.ORDERS.encode(),
+                    b",".join(one.body for one in call),
+                )
+                result = await self._client.call(
+                    build_post(protocol.TRANSACTION_PATH, body), ANSWER_WAIT
+                )
                 await self._settle(call, result)
             self._given.clear()
             self.changed()
 
     def close(self) -> None:
-        self._caller.close()
+        self._client.close()
 
     def _front(self) -> list[PendingOrder]:
-        return self.pending_orders.next_batch(CALL_MOST - len(names.ORDERS) - 8)
+        return self.pending_orders.next_batch(CALL_MOST - len(protocol.ORDERS) - 8)
 
-    async def _settle(self, call: list[PendingOrder], result: Result) -> None:
+    async def _settle(self, call: list[PendingOrder], result: CallResult) -> None:
         """Takes in what became of a call; returns when the next may go out."""
         if isinstance(result, Failure):
             self.runtime.rate_limited_log.warning(
@@ -103,8 +113,8 @@
             )
             await self._again(result.may_have_run, result.cause is FailureCause.BROKEN)
             return
-        answer = read_object(result.body)
-        accepted = answer.get(names.ACCEPTED) if isinstance(answer, dict) else None
+        answer = decode_object(result.body)
+        accepted = answer.get(protocol.ACCEPTED) if isinstance(answer, dict) else None
         if result.status == 200 and type(accepted) is int and 0 <= accepted <= len(call):
             self._failures = self._errors = 0
             self.runtime.counters.add("orders_accepted", accepted)
@@ -114,18 +124,18 @@
                     "order_refused", order=call[accepted].body.decode()
                 )
                 self.refused(call[accepted].order)
-        elif isinstance(answer, dict) and answer.get(names.ERROR) == names.THROTTLED:
+        elif isinstance(answer, dict) and answer.get(protocol.ERROR) == protocol.THROTTLED:
             await self.runtime.pause(THROTTLE_WAIT)
         else:
             await self._take_error(call, result, answer)
 
-    async def _take_error(self, call: list[PendingOrder], result: Answer, answer: object) -> None:
+    async def _take_error(self, call: list[PendingOrder], result: Response, answer: object) -> None:
         """An error that is no waiting, or what can't be read: then it is unknown whether the call ran."""
         self._errors += 1
         self.runtime.rate_limited_log.warning(
             "relay_call_error", status=result.status, body=result.body[:200].decode("latin-1")
         )
-        invalid = isinstance(answer, dict) and answer.get(names.ERROR) == names.INVALID
+        invalid = isinstance(answer, dict) and answer.get(protocol.ERROR) == protocol.INVALID
         if invalid or self._errors >= ERRORS_MOST:
             self.runtime.rate_limited_log.warning("relay_call_given_up", orders=len(call))
             self.pending_orders.settle(call)
@@ -141,11 +151,11 @@
                 RETRY_LEAST + self.runtime.rng.random() * (RETRY_MOST - RETRY_LEAST)
             )
         if may_have_run and (seal := self.pending_orders.next_seal()):
-            self.unknown, self.broken = seal, broken
+            self.unknown_seal, self.is_broken_off = seal, broken
             self._known.clear()
             self.changed()
             await self._known.wait()
 
     def _end_doubt(self) -> None:
-        self.unknown = 0
+        self.unknown_seal = 0
         self._known.set()
--- a/lifthinge/wire/news.py
+++ b/lifthinge/wire/relay_watch.py
@@ -15,11 +15,11 @@
 from lifthinge.memory.registry import Registry
 from lifthinge.memory.runtime import Runtime
 from lifthinge.outer_names import outer_name
-from lifthinge.wire import names
-from lifthinge.wire.client import HttpConnection, Result, get
+from lifthinge.wire import protocol
+from lifthinge.wire.client import CallResult, HttpConnection, build_get
 from lifthinge.wire.connection import connect
-from lifthinge.wire.door import Door
-from lifthinge.wire.frames import Skip, read_object
+from lifthinge.wire.frames import InvalidMessage, decode_object
+from lifthinge.wire.translator import MessageTranslator
 
 SILENCE = 2_200.0  # ms without a line; a sign of life comes every second
 LINES_FOLLOW = 30.0  # ms within which a slice's lines follow the word that it is given
@@ -27,7 +27,7 @@
 NEVER = float("inf")
 
 
-class NewsConnection(HttpConnection):
+class RelayWatchConnection(HttpConnection):
     """Hands on line by line for as long as they come; `trouble` says why another stream is needed."""
 
     def __init__(
@@ -44,21 +44,21 @@
 
     def open(self, data: bytes) -> None:
         self._listen()
-        self.ask(data, NEVER).add_done_callback(lambda over: self.report(over.result()))
+        self.send_request(data, NEVER).add_done_callback(lambda over: self.report(over.result()))
 
-    def received(self) -> None:
+    def on_data(self) -> None:
         self._listen()
         trouble = self.parser.advance()
         if not trouble and self.parser.status == 200:
-            while not self.lost and (line := self.parser.take_line()) is not None:
+            while not self.is_closed and (line := self.parser.take_line()) is not None:
                 self._line(self, line)
-        if trouble or self.parser.done:
+        if trouble or self.parser.is_done:
             self.fail(FailureCause.INVALID_RESPONSE, trouble or f"status {self.parser.status}")
 
-    def gone(self) -> None:
+    def on_closed(self) -> None:
         if self._silence:
             self._silence.cancel()
-        super().gone()
+        super().on_closed()
 
     def _listen(self) -> None:
         if self._silence:
@@ -66,38 +66,38 @@
         self._silence = self.runtime.deadlines.set(SILENCE, self._silent)
 
     def _silent(self) -> None:
-        self.report(Failure(self.reach(), FailureCause.LATE, "silent"))
+        self.report(Failure(self.send_progress(), FailureCause.LATE, "silent"))
 
-    def report(self, result: Result) -> None:
+    def report(self, result: CallResult) -> None:
         """Another stream is wanted; this one is heard on. One that ends as an answer does has broken off."""
         if not self.trouble.done():
             over = Failure(SendProgress.ANSWERED, FailureCause.BROKEN, "ended")
             self.trouble.set_result(result if isinstance(result, Failure) else over)
 
 
-class News:
+class RelayWatch:
     """`tell` takes the events that are news."""
 
     def __init__(
         self,
         runtime: Runtime,
-        door: Door,
+        translator: MessageTranslator,
         registry: Registry,
         pending_orders: PendingOrders,
         where: tuple[str, int],
-        tell: Callable[[list[Event]], None],
+        publish: Callable[[list[Event]], None],
     ) -> None:
-        self.runtime, self.door, self.registry, self.pending_orders, self.where = (
+        self.runtime, self.translator, self.registry, self.pending_orders, self.address = (
             runtime,
-            door,
+            translator,
             registry,
             pending_orders,
             where,
         )
-        self.tell = tell
+        self.publish = publish
         self.has_initial_state = False  # ever heard what stands
-        self._live: NewsConnection | None = None  # the one that is listened to
-        self._latest: NewsConnection | None = None  # the last one opened, until it gives way
+        self._live: RelayWatchConnection | None = None  # the one that is listened to
+        self._latest: RelayWatchConnection | None = None  # the last one opened, until it gives way
         self._given: dict[object, list[Event]] = {}  # slices just given, with their lines so far
         self._given_over: Deadline | None = None
 
@@ -122,57 +122,59 @@
                     RETRY_LEAST + self.runtime.rng.random() * (RETRY_MOST - RETRY_LEAST)
                 )
 
-    def renew(
+    def resubscribe(
         self, where: tuple[str, int] | None = None, why: FailureCause = FailureCause.RESUBSCRIBED
     ) -> None:
         """Has what stands told again, maybe elsewhere; the stream so far is heard until that is done."""
-        self.where = where or self.where
+        self.address = where or self.address
         if self._latest:
             self._latest.report(Failure(SendProgress.ANSWERED, why))
 
-    def move(self, where: tuple[str, int]) -> None:
-        self.renew(where, FailureCause.ADDRESS_CHANGED)
+    def change_address(self, where: tuple[str, int]) -> None:
+        self.resubscribe(where, FailureCause.ADDRESS_CHANGED)
 
     def close(self) -> None:
         if self._live:
             self._live.abort()
 
     async def _once(self) -> Failure:
-        where = self.where
+        where = self.address
         connection = await connect(
             self.runtime,
-            lambda: NewsConnection(self.runtime, InitialState(self.pending_orders), self._take),
+            lambda: RelayWatchConnection(
+                self.runtime, InitialState(self.pending_orders), self._take
+            ),
             where,
         )
         if isinstance(connection, Failure):
             return connection
         self._latest = connection
         try:
-            if where != self.where:
+            if where != self.address:
                 return Failure(SendProgress.NOT_SENT, FailureCause.ADDRESS_CHANGED)
-            connection.open(get(names.NEWS_PATH)(where))
+            connection.open(build_get(protocol.WATCH_PATH)(where))
             return await connection.trouble
         finally:
             self._latest = None
             if connection is not self._live:
                 connection.abort()
 
-    def _take(self, connection: NewsConnection, line: bytes) -> None:
-        message = read_object(line)
+    def _take(self, connection: RelayWatchConnection, line: bytes) -> None:
+        message = decode_object(line)
         event = (
             None
             if message == {}
             else (
                 message
-                if isinstance(message, Skip)
-                else self.door.news(message, connection.initial_state is not None)
+                if isinstance(message, InvalidMessage)
+                else self.translator.read_relay_event(message, connection.initial_state is not None)
             )
         )
         if connection.initial_state is not None and (
             event is None or isinstance(event, SealConfirmed)
         ):
             self._end_stand(connection)
-        if isinstance(event, Skip):
+        if isinstance(event, InvalidMessage):
             self.runtime.rate_limited_log.warning("bad_news", why=event.why)
         elif event is not None:
             self.runtime.counters.add(f"news.{outer_name(type(event))}")
@@ -181,7 +183,7 @@
             else:
                 self._pass(event)
 
-    def _end_stand(self, connection: NewsConnection) -> None:
+    def _end_stand(self, connection: RelayWatchConnection) -> None:
         """This stream takes the place of the one before."""
         self._tell_given()
         former, self._live = self._live, connection
@@ -194,7 +196,7 @@
         self.runtime.counters.add("news.stands")
         self.runtime.counters.add("news.differences", len(told))
         self.has_initial_state = True
-        self.tell(told)
+        self.publish(told)
 
     def _pass(self, event: Event) -> None:
         """Hands an event on; a slice just given waits for its lines, or it would pass for a bare one."""
@@ -202,13 +204,13 @@
             if (
                 event.slice in self.registry.leased_slices
             ):  # nothing may be ordered for it on its old lines meanwhile
-                self.tell([SliceLeaseChanged(event.slice, False)])
+                self.publish([SliceLeaseChanged(event.slice, False)])
             self._given[event.slice] = [event]
         elif isinstance(event, StoredEntry) and event.slice in self._given:
             self._given[event.slice].append(event)
         else:
             self._tell_given()
-            self.tell([event])
+            self.publish([event])
             return
         if self._given_over:
             self._given_over.cancel()
@@ -219,4 +221,4 @@
             self._given_over.cancel()
         given, self._given = self._given, {}
         if given:
-            self.tell([event for events in given.values() for event in events])
+            self.publish([event for events in given.values() for event in events])
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -50,7 +50,7 @@
     "settings",
     "wire.buffer",
     "wire.client",
-    "wire.door",
+    "wire.translator",
     "wire.frames",
     "wire.http",
     "wire.probes",
--- a/tests/play/network.py
+++ b/tests/play/network.py
@@ -137,7 +137,7 @@
 
     async def open(self, port: int = 0) -> None:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
-        self.where = self.server.sockets[0].getsockname()
+        self.address = self.server.sockets[0].getsockname()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.opened += 1
@@ -220,7 +220,7 @@
             for number, raw in enumerate(text.splitlines(), 1):
                 text = (
                     raw.split("#")[0]
-                    .replace("$backend", "%s:%d" % self.backend.where)
+                    .replace("$backend", "%s:%d" % self.backend.address)
                     .replace("$deaf", "%s:%d" % deaf.getsockname())
                     .replace("$listen", "%s:%d" % self.address)
                 )
@@ -282,7 +282,7 @@
         self.known["servers"] = [
             {
                 "id": f"s-{number}",
-                "addr": "%s:%d" % self.backend.where,
+                "addr": "%s:%d" % self.backend.address,
                 "zone": "za",
                 "state": "ready",
             }
@@ -315,8 +315,8 @@
         place = Place(
             "n0",
             ("127.0.0.1", 0),
-            self.discovery.where,
-            self.relay.where,
+            self.discovery.address,
+            self.relay.address,
             peer_listen,
             peers,
             None,
@@ -329,7 +329,7 @@
         )
         self.controller = Controller(place, runtime, self.script)
         await self.controller.start()
-        self.address = self.controller.reception.where
+        self.address = self.controller.inbound_server.address
 
     async def do_reload(self, *what: str) -> None:
         """The old addresses accept no new connection from now on."""
@@ -340,7 +340,9 @@
             if name in what and "away" in what:
                 peer.server.close()
         self.controller.reload(
-            replace(self.controller.place, relay=self.relay.where, discovery=self.discovery.where)
+            replace(
+                self.controller.place, relay=self.relay.address, discovery=self.discovery.address
+            )
         )
         await self._settle()
 
@@ -380,7 +382,7 @@
             ]
             orders.append(kind(*values))
         self.script.due.append(orders)
-        self.controller.tell([])
+        self.controller.publish([])
 
     async def do_shut_out(self, count: str, seal: str) -> None:
         orders = [f"ShutOut s-{number:03}{'x' * 195} true" for number in range(int(count))]
@@ -393,7 +395,7 @@
 
     async def do_choke(self) -> None:
         """What is written to the relay's call from now on does not leave."""
-        self.controller.relay._caller._kept.pause_writing()
+        self.controller.relay._client._connection.pause_writing()
 
     async def do_told(self, *words: str) -> None:
         wanted = " ".join(words)
@@ -438,7 +440,7 @@
             "ROUTER_NAME": "n0",
             "ROUTER_LISTEN": "%s:%d" % self.address,
             "ROUTER_CONFIG": file.name,
-            "ROUTER_DISCOVERY": "%s:%d" % self.discovery.where,
+            "ROUTER_DISCOVERY": "%s:%d" % self.discovery.address,
         }
         await self.do_configure(*pairs)
         self.program = await asyncio.create_subprocess_exec(
@@ -457,10 +459,10 @@
             "limits": {"sockets": 64},
             "known": self.known,
             "settings": self.site,
-            "distributor": {"address": "%s:%d" % self.relay.where},
+            "distributor": {"address": "%s:%d" % self.relay.address},
             "peers": [],
             "peer_listen": "%s:%d" % self.address,
-            "discovery": "%s:%d" % self.discovery.where,
+            "discovery": "%s:%d" % self.discovery.address,
         }
         for key, value in (pair.split("=", 1) for pair in pairs if "=" in pair):
             part, (*path, last) = (
@@ -567,7 +569,7 @@
         self.parties[party].server.close()
 
     async def peer_restarts(self, party: str, name: str) -> None:
-        await self.parties[party].open(self.parties[party].where[1])
+        await self.parties[party].open(self.parties[party].address[1])
 
     async def peer_ended(self, party: str, name: str) -> None:
         peer = self.parties[party]
