--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -136,7 +136,7 @@
         }
 
     async def start(self) -> None:
-        found = self.discovery.known(self.place.known)
+        found = self.discovery.load_known_list(self.place.known)
         if found:
             self.runtime.rate_limited_log.warning("known_unusable", why=found.why)
         await self._bind("ROUTER_LISTEN", self.inbound_server.open(self.place.listen))
--- a/lifthinge/wire/client.py
+++ b/lifthinge/wire/client.py
@@ -52,7 +52,7 @@
         self._request: int | None = None
         self.used_at = runtime.now
 
-    def send_request(self, data: bytes, wait: float) -> "asyncio.Future[Result]":
+    def send_request(self, data: bytes, wait: float) -> "asyncio.Future[CallResult]":
         """Sends a request; the future brings its answer or how it failed, and never an exception."""
         future: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
         deadline = self.runtime.deadlines.set(wait, lambda: self.fail(FailureCause.LATE))
--- a/lifthinge/wire/discovery.py
+++ b/lifthinge/wire/discovery.py
@@ -135,9 +135,9 @@
             )
         return result
 
-    def known(self, message: dict) -> InvalidMessage | None:
+    def load_known_list(self, message: dict) -> InvalidMessage | None:
         """Takes the list that this controller last held, maybe out of date."""
-        found = self.translator.version(message)
+        found = self.translator.read_list_header(message)
         if isinstance(found, InvalidMessage):
             return found
         listings, _ = self._read(found[2])
@@ -152,7 +152,7 @@
         A list older than the one held may come from an agent that is behind, or that counts anew: it is
         believed if asked for again it is no older, and not empty.
         """
-        found = self.translator.version(message)
+        found = self.translator.read_list_header(message)
         if isinstance(found, InvalidMessage):
             return found
         version, whole, entries = found
--- a/lifthinge/wire/frames.py
+++ b/lifthinge/wire/frames.py
@@ -11,7 +11,7 @@
 >>> all(feed(encode_frame({"t": "hb", "n": 1})[:cut]) is None for cut in range(len(encode_frame({"t": "hb", "n": 1}))))
 True
 >>> feed(b"\\0\\0\\0\\0"), feed(b"\\0\\x10\\0\\1"), feed(b"\\0\\0\\0\\2[]"), feed(b"\\0\\0\\0\\3{a}")
-(FramingLost(why='length 0'), FramingLost(why='length 1048577'), Skip(why='not an object'), FramingLost(why='not JSON'))
+(FramingLost(why='length 0'), FramingLost(why='length 1048577'), InvalidMessage(why='not an object'), FramingLost(why='not JSON'))
 """
 
 import json
--- a/lifthinge/wire/inbound.py
+++ b/lifthinge/wire/inbound.py
@@ -44,7 +44,7 @@
 
     kind = "inbound"
 
-    def __init__(self, inbound_server: "Reception") -> None:
+    def __init__(self, inbound_server: "InboundServer") -> None:
         super().__init__(inbound_server.runtime, STRANGER_MOST + 4, STRANGER_MOST // 4)
         self.inbound_server = inbound_server
         self.state, self.zone = State.STRANGER, -1
--- a/lifthinge/wire/relay_watch.py
+++ b/lifthinge/wire/relay_watch.py
@@ -34,7 +34,7 @@
         self,
         runtime: Runtime,
         initial_state: InitialState,
-        line: Callable[["NewsConnection", bytes], None],
+        line: Callable[["RelayWatchConnection", bytes], None],
     ) -> None:
         super().__init__(runtime, "relay_news")
         self._line = line
--- a/lifthinge/wire/translator.py
+++ b/lifthinge/wire/translator.py
@@ -203,7 +203,7 @@
 
         return self._guard(read)
 
-    def version(self, answer: dict[str, Any]) -> tuple[int, bool, list] | InvalidMessage:
+    def read_list_header(self, answer: dict[str, Any]) -> tuple[int, bool, list] | InvalidMessage:
         """The version of a list, whether it is whole, and its entries."""
 
         def read() -> tuple[int, bool, list]:
