--- a/lifthinge/service/agreed.py
+++ b/lifthinge/service/agreed.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 
-class AgreedDoor:
+class AgreedDocumentSource:
     """Makes the event `OperatorOverrides` of the document that is obeyed, whenever it or the list of backends changes."""
 
     def __init__(
@@ -87,6 +87,6 @@
             self._deadline.cancel()
 
 
-def need_keys(part: AgreedPart) -> KeyFile | NoKeys:
+def open_key_file(part: AgreedPart) -> KeyFile | NoKeys:
     keys = read_keys(part.key_file)
     return keys if isinstance(keys, NoKeys) else KeyFile(part.key_file, keys)
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -36,7 +36,7 @@
 from lifthinge.memory.registry import Registry
 from lifthinge.memory.runtime import Runtime
 from lifthinge.outer_names import outer_name
-from lifthinge.service.environment import BadStart, Place, unfollowed
+from lifthinge.service.environment import ControllerConfig, StartupError, fields_needing_restart
 from lifthinge.wire.discovery import DiscoveryClient
 from lifthinge.wire.inbound import InboundServer
 from lifthinge.wire.peers import PeerTransport
@@ -52,18 +52,18 @@
 INBOUND_PER_MB = 4  # of the stated memory: a stranger takes some 10 KiB
 
 
-def _inbound(place: Place) -> int:
+def _inbound(config: ControllerConfig) -> int:
     """How many connections may have come in: bounded by the stated sockets, and by the memory."""
-    return int(min(place.sockets * INBOUND_PART, place.memory_mb * INBOUND_PER_MB))
+    return int(min(config.sockets * INBOUND_PART, config.memory_mb * INBOUND_PER_MB))
 
 
-class Decider(Protocol):
+class DecisionModule(Protocol):
     """What decides: `lifthinge.policy.Policy`."""
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]: ...
 
 
-class Agreement(Protocol):
+class AgreedSource(Protocol):
     """Where the agreed document comes from: `lifthinge.service.agreed.AgreedDoor`."""
 
     def event(self) -> Event: ...
@@ -74,23 +74,23 @@
 class Controller:
     """Owns everything that belongs to one controller; settings say what of it exists."""
 
-    def __init__(self, place: Place, runtime: Runtime, policy: Decider) -> None:
-        self.place, self.runtime, self.policy, self.registry, self.pending_orders = (
-            place,
+    def __init__(self, config: ControllerConfig, runtime: Runtime, policy: DecisionModule) -> None:
+        self.config, self.runtime, self.policy, self.registry, self.pending_orders = (
+            config,
             runtime,
             policy,
             Registry(),
             PendingOrders(),
         )
-        self.translator = MessageTranslator(place.site, self.registry)
+        self.translator = MessageTranslator(config.site, self.registry)
         self.inbound_server = InboundServer(
-            runtime, self.translator, _inbound(place), lambda: self.ready, self.publish
+            runtime, self.translator, _inbound(config), lambda: self.ready, self.publish
         )
         self.relay = RelayClient(
             runtime,
             self.translator,
             self.pending_orders,
-            place.relay,
+            config.relay,
             lambda: self.publish([]),
             self._refused,
             self._given_up,
@@ -100,21 +100,21 @@
             self.translator,
             self.registry,
             self.pending_orders,
-            place.relay,
+            config.relay,
             self._tell_news,
         )
         self.discovery = DiscoveryClient(
-            runtime, self.translator, self.registry, place.discovery, self._tell_list
+            runtime, self.translator, self.registry, config.discovery, self._tell_list
         )
-        self.agreed: Agreement | None = None
+        self.agreed_source: AgreedSource | None = None
         self.prober = Prober(
             runtime, self.translator, self.registry, lambda found: self.publish([found])
         )
         self.peers = PeerTransport(
             runtime,
-            list(place.peers),
-            place.peers_all,
-            place.site.controller_number,
+            list(config.peers),
+            config.peers_all,
+            config.site.controller_number,
             lambda note: self.publish([note]),
         )
         self.ready = False  # it can decide, and knows what stands
@@ -136,33 +136,33 @@
         }
 
     async def start(self) -> None:
-        found = self.discovery.load_known_list(self.place.known)
+        found = self.discovery.load_known_list(self.config.known)
         if found:
             self.runtime.rate_limited_log.warning("known_unusable", why=found.why)
-        await self._bind("ROUTER_LISTEN", self.inbound_server.open(self.place.listen))
-        if self.place.peer_listen:
-            await self._bind("peer_listen", self.peers.open(self.place.peer_listen))
+        await self._bind("ROUTER_LISTEN", self.inbound_server.open(self.config.listen))
+        if self.config.peer_listen:
+            await self._bind("peer_listen", self.peers.open(self.config.peer_listen))
         self._run("relay", self.relay.run)
         self._run("news", self.relay_watch.run)
-        if not self.place.site.news_on_request:
+        if not self.config.site.news_on_request:
             self._follow(True)
-        if self.agreed is not None:
-            self._run("agreed", self.agreed.follower.run)
+        if self.agreed_source is not None:
+            self._run("agreed", self.agreed_source.follower.run)
         self.runtime.deadlines.set(DISCOVERY_WAIT, self._wait_no_more)
 
-    def agree(self, agreed: "Agreement") -> None:
+    def set_agreed_source(self, agreed: "Agreement") -> None:
         """From the start on, an agreed document is followed, too."""
-        self.agreed = agreed
+        self.agreed_source = agreed
 
     def _tell_list(self, news: FleetNews) -> None:
         """A list may bring backends that the agreed document names."""
-        self.publish([news] if self.agreed is None else [news, self.agreed.event()])
+        self.publish([news] if self.agreed_source is None else [news, self.agreed_source.event()])
 
-    def reload(self, new: Place) -> None:
+    def reload(self, new: ControllerConfig) -> None:
         """Goes on by a new configuration: what has moved is met at its new address before the old is left."""
-        former, self.place = (
-            self.place,
-            replace(self.place, discovery=new.discovery, relay=new.relay),
+        former, self.config = (
+            self.config,
+            replace(self.config, discovery=new.discovery, relay=new.relay),
         )
         if new.relay != former.relay:
             self.relay.change_address(new.relay)
@@ -178,7 +178,7 @@
                 "discovery": "%s:%d" % new.discovery,
                 "relay": "%s:%d" % new.relay,
                 "moved": (new.relay != former.relay) + (new.discovery != former.discovery),
-                "needs_restart": ",".join(unfollowed(former, new)) or "nothing",
+                "needs_restart": ",".join(fields_needing_restart(former, new)) or "nothing",
             },
         )
 
@@ -187,7 +187,7 @@
         try:
             await opened
         except OSError as error:
-            raise BadStart(key, error.strerror or str(error)) from None
+            raise StartupError(key, error.strerror or str(error)) from None
 
     def stop(self) -> None:
         """Takes nothing more, and ends every connection."""
@@ -199,8 +199,8 @@
         self.discovery.close()
         self.prober.close()
         self.peers.close()
-        if self.agreed is not None:
-            self.agreed.close()
+        if self.agreed_source is not None:
+            self.agreed_source.close()
 
     def publish(self, events: list[Event]) -> None:
         """Takes in events; they are decided on together once this loop turn is over."""
@@ -276,7 +276,7 @@
             self.runtime.counters.add("decision_failed")
             self.ready = False
             self.runtime.deadlines.set(
-                self.place.terms.report_interval_ms, lambda: self.publish([])
+                self.config.terms.report_interval_ms, lambda: self.publish([])
             )
             return
         self.runtime.counters.add("decisions")
@@ -289,7 +289,7 @@
         for order in orders:
             if not self.translator.is_relay_order(order):
                 self._carry[type(order)](order)
-        listed = self.discovery.has_answered or self._late or self.place.site.news_on_request
+        listed = self.discovery.has_answered or self._late or self.config.site.news_on_request
         if not self.ready and self.relay_watch.has_initial_state and listed:
             self.ready = True
             log.info(
--- a/lifthinge/service/environment.py
+++ b/lifthinge/service/environment.py
@@ -16,7 +16,7 @@
 Address = tuple[str, int]
 
 
-class BadStart(Exception):
+class StartupError(Exception):
     """The program can't start; `key` names what is at fault."""
 
     def __init__(self, key: str, why: str) -> None:
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class ControllerConfig:
     """Where this controller stands, and among whom."""
 
     name: str
@@ -43,27 +43,27 @@
     site: SiteLayout
 
 
-def read_place(environment: Mapping[str, str], anew: bool = False) -> Place:
+def read_config(environment: Mapping[str, str], anew: bool = False) -> ControllerConfig:
     """What the program starts with; read anew, the configuration names discovery, too.
 
-    >>> read_place({"ROUTER_NAME": "n3"})
+    >>> read_config({"ROUTER_NAME": "n3"})
     Traceback (most recent call last):
         ...
     lifthinge.service.environment.BadStart: ROUTER_LISTEN: missing
     """
     for key in ("ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG"):
         if not environment.get(key):
-            raise BadStart(key, "missing")
+            raise StartupError(key, "missing")
     listen = _address("ROUTER_LISTEN", environment["ROUTER_LISTEN"])
     try:
         with open(environment["ROUTER_CONFIG"], encoding="utf-8") as file:
             conf = json.load(file)
     except OSError as error:
-        raise BadStart("ROUTER_CONFIG", str(error.strerror)) from None
+        raise StartupError("ROUTER_CONFIG", str(error.strerror)) from None
     except (ValueError, RecursionError) as error:
-        raise BadStart("ROUTER_CONFIG", f"not JSON: {error}") from None
+        raise StartupError("ROUTER_CONFIG", f"not JSON: {error}") from None
     if not isinstance(conf, dict):
-        raise BadStart("ROUTER_CONFIG", "not an object")
+        raise StartupError("ROUTER_CONFIG", "not an object")
     discovery = (
         _address("discovery", conf.get("discovery"))
         if anew
@@ -73,11 +73,11 @@
     try:
         terms, site = read_settings(conf.get("settings")), read_layout(conf.get("settings"))
     except SettingsError as error:
-        raise BadStart("settings", str(error)) from None
+        raise StartupError("settings", str(error)) from None
     peers = conf.get("peers", []) if site.has_peers else []
     if not isinstance(peers, list):
-        raise BadStart("peers", "not a list")
-    return Place(
+        raise StartupError("peers", "not a list")
+    return ControllerConfig(
         name=environment["ROUTER_NAME"],
         listen=listen,
         discovery=discovery,
@@ -99,45 +99,45 @@
 def _part(conf: dict[str, Any], key: str) -> dict[str, Any]:
     found = conf.get(key)
     if not isinstance(found, dict):
-        raise BadStart(key, "not an object" if key in conf else "missing")
+        raise StartupError(key, "not an object" if key in conf else "missing")
     return found
 
 
 def _address(key: str, text: Any) -> Address:
     if text is None:
-        raise BadStart(key, "missing")
+        raise StartupError(key, "missing")
     try:
         return parse_address(text)
     except ValueError as error:
-        raise BadStart(key, str(error)) from None
+        raise StartupError(key, str(error)) from None
 
 
 def _seed(text: Any) -> int:
     try:
         return int(text, 16)
     except (TypeError, ValueError):
-        raise BadStart(
+        raise StartupError(
             "seed", "not a hexadecimal number" if text is not None else "missing"
         ) from None
 
 
 def _sockets(count: Any) -> int:
     if type(count) is not int or count < SOCKETS_LEAST:
-        raise BadStart("limits.sockets", f"not a number of at least {SOCKETS_LEAST}")
+        raise StartupError("limits.sockets", f"not a number of at least {SOCKETS_LEAST}")
     return count
 
 
 def _memory(megabytes: Any) -> float:
     if type(megabytes) not in (int, float) or not MEMORY_LEAST <= megabytes < float("inf"):
-        raise BadStart("limits.memory_mb", f"not a number of at least {MEMORY_LEAST}")
+        raise StartupError("limits.memory_mb", f"not a number of at least {MEMORY_LEAST}")
     return float(megabytes)
 
 
-def unfollowed(former: Place, new: Place) -> list[str]:
+def fields_needing_restart(former: ControllerConfig, new: ControllerConfig) -> list[str]:
     """What a new configuration says otherwise that only a start takes up."""
     return [
         one.name
-        for one in fields(Place)
+        for one in fields(ControllerConfig)
         if one.name not in FOLLOWED | OF_A_START
         and getattr(former, one.name) != getattr(new, one.name)
     ]
--- a/lifthinge/service/logs.py
+++ b/lifthinge/service/logs.py
@@ -5,9 +5,9 @@
 >>> fields = {"why": "a b", "n": 1, "ms": 2.5}
 >>> record = logging.LogRecord("wire", logging.WARNING, "", 0, "bad_news", (fields,), None)
 >>> record.created = 1.5
->>> formatter().format(record)
+>>> make_formatter().format(record)
 'time=1.500 level=warning event=bad_news why="a b" n=1 ms=2.5'
->>> formatter("json").format(record)
+>>> make_formatter("json").format(record)
 '{"time": "1.500", "level": "warning", "event": "bad_news", "why": "a b", "n": 1, "ms": 2.5}'
 """
 
@@ -58,7 +58,7 @@
     return text if plain else json.dumps(text)
 
 
-def formatter(form: str = "key-value") -> logging.Formatter:
+def make_formatter(form: str = "key-value") -> logging.Formatter:
     """What renders records: `key-value` or `json`."""
     last = [structlog.processors.JSONRenderer()] if form == "json" else [_short, _line]
     return structlog.stdlib.ProcessorFormatter(
@@ -66,7 +66,7 @@
     )
 
 
-def start(form: str = "key-value") -> None:
+def configure(form: str = "key-value") -> None:
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(formatter(form))
+    handler.setFormatter(make_formatter(form))
     logging.basicConfig(level=logging.INFO, handlers=[handler], force=True)
--- a/lifthinge/service/member.py
+++ b/lifthinge/service/member.py
@@ -14,7 +14,7 @@
 from lifthinge.raft.messages import Member, Roster
 from lifthinge.raft.node import Pace
 from lifthinge.service import logs
-from lifthinge.service.run import BAD_START, counters, make_runtime
+from lifthinge.service.run import EXIT_STARTUP_ERROR, collect_counters, make_runtime
 from lifthinge.store.files import Files
 from lifthinge.store.store import Damage
 
@@ -23,7 +23,7 @@
 SOCKETS = 8_192
 
 
-class BadMember(Exception):
+class MemberStartupError(Exception):
     """The member can't start; the text names key or file."""
 
 
@@ -32,7 +32,7 @@
     for role, name in (("member", "key_file"), ("client", "client_key_file")):
         keys = read_keys(getattr(part, name))
         if isinstance(keys, NoKeys):
-            raise BadMember(f"{path}: member.{name}: {keys.path}: {keys.why}")
+            raise MemberStartupError(f"{path}: member.{name}: {keys.path}: {keys.why}")
         files[role] = KeyFile(getattr(part, name), keys)
     return files
 
@@ -41,20 +41,22 @@
     try:
         disk = open_disk(kind(Path(part.folder)))
     except OSError as error:
-        raise BadMember(
+        raise MemberStartupError(
             f"{path}: member.folder: {part.folder}: {error.strerror or error}"
         ) from None
     if isinstance(disk, Damage):
-        raise BadMember(f"{path}: member.folder: {part.folder}/{disk}")
+        raise MemberStartupError(f"{path}: member.folder: {part.folder}/{disk}")
     if disk.cluster is None:
         if disk.image.term or disk.image.entries:
-            raise BadMember(f"{path}: member.folder: {part.folder}: does not say whose it is")
+            raise MemberStartupError(
+                f"{path}: member.folder: {part.folder}: does not say whose it is"
+            )
         first = Roster(
             tuple(Member(name, address) for name, address in sorted(part.start_with.items()))
         )
         disk.begin(Cluster(part.cluster, part.name, first))
     elif (disk.cluster.cluster, disk.cluster.member) != (part.cluster, part.name):
-        raise BadMember(
+        raise MemberStartupError(
             f"{path}: member.folder: {part.folder}: belongs to {disk.cluster.member} of"
             f" {disk.cluster.cluster}"
         )
@@ -92,12 +94,12 @@
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, over.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)  # keys are read again by themselves
-    loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("counters", counters(runtime)))
+    loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("counters", collect_counters(runtime)))
     try:
         await member.start()
     except OSError as error:
         await member.stop()
-        raise BadMember(
+        raise MemberStartupError(
             f"{path}: member.listen: {part.listen}: {error.strerror or error}"
         ) from None
     log.info(
@@ -113,14 +115,14 @@
     )
     await over.wait()
     await member.stop()
-    log.info("stopped", counters(runtime))
+    log.info("stopped", collect_counters(runtime))
     return FAILED if failed else 0
 
 
 def main(part: MemberPart, path: str, kind: type[Files] = Files, form: str = "key-value") -> int:
-    logs.start(form)
+    logs.configure(form)
     try:
         return asyncio.run(serve(part, path, kind))
-    except BadMember as error:
+    except MemberStartupError as error:
         log.error("bad_start", {"why": str(error)})
-        return BAD_START
+        return EXIT_STARTUP_ERROR
--- a/lifthinge/service/run.py
+++ b/lifthinge/service/run.py
@@ -16,14 +16,14 @@
 from lifthinge.memory.slots import SlotPool
 from lifthinge.policy import Policy
 from lifthinge.service import logs
-from lifthinge.service.controller import Controller, Decider
-from lifthinge.service.environment import BadStart, Place, read_place
+from lifthinge.service.controller import Controller, DecisionModule
+from lifthinge.service.environment import ControllerConfig, StartupError, read_config
 
 if TYPE_CHECKING:
     from lifthinge.operators import Operators
 
 log = logging.getLogger(__name__)
-BAD_START = 2
+EXIT_STARTUP_ERROR = 2
 MS = 1000.0
 
 
@@ -46,7 +46,7 @@
     )
 
 
-def counters(runtime: Runtime) -> dict[str, float]:
+def collect_counters(runtime: Runtime) -> dict[str, float]:
     """All counters, and what the process has used so far."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return {
@@ -62,80 +62,84 @@
 def reload(controller: Controller) -> None:
     """Reads the configuration again; one that can't be used changes nothing."""
     try:
-        controller.reload(read_place(os.environ, anew=True))
-    except BadStart as error:
+        controller.reload(read_config(os.environ, anew=True))
+    except StartupError as error:
         controller.runtime.rate_limited_log.warning("reload_failed", key=error.key, why=error.why)
 
 
-def turn_on(controller: Controller, operators: Optional["Operators"]) -> None:
+def enable_agreed_document(controller: Controller, operators: Optional["Operators"]) -> None:
     """What the operators' file asks for; without it nothing of that is even imported."""
     if operators is None or operators.agreed is None:
         return
     from lifthinge.cluster.keys import NoKeys
-    from lifthinge.service.agreed import AgreedDoor, need_keys
+    from lifthinge.service.agreed import AgreedDocumentSource, open_key_file
 
-    keys = need_keys(operators.agreed)
+    keys = open_key_file(operators.agreed)
     if isinstance(keys, NoKeys):
-        raise BadStart("agreed.key_file", f"{keys.path}: {keys.why}")
-    controller.agree(
-        AgreedDoor(
+        raise StartupError("agreed.key_file", f"{keys.path}: {keys.why}")
+    controller.set_agreed_source(
+        AgreedDocumentSource(
             operators.agreed,
-            controller.place.name,
+            controller.config.name,
             controller.runtime,
             controller.registry,
-            controller.place.site,
+            controller.config.site,
             controller.publish,
             keys,
         )
     )
 
 
-def decider(place: Place, runtime: Runtime, operators: Optional["Operators"]) -> Decider:
+def make_decision_module(
+    config: ControllerConfig, runtime: Runtime, operators: Optional["Operators"]
+) -> DecisionModule:
     """The decisions, behind a capture where the operators' file asks for one."""
-    policy = Policy(place.terms, place.seed)
+    policy = Policy(config.terms, config.seed)
     if operators is None or operators.capture is None:
         return policy
     from lifthinge.capture.capture import open_capture
 
-    part, head = operators.capture, {"name": place.name, "seed": place.seed, "life": runtime.now}
+    part, head = operators.capture, {"name": config.name, "seed": config.seed, "life": runtime.now}
     try:
         return open_capture(
             policy, part.folder, part.budget_mb, part.segment_mb, head, runtime.counters
         )
     except OSError as error:
-        raise BadStart("capture.folder", f"{part.folder}: {error.strerror or error}") from None
+        raise StartupError("capture.folder", f"{part.folder}: {error.strerror or error}") from None
 
 
-async def serve(place: Place, hung_up: list[int], operators: Optional["Operators"] = None) -> None:
+async def serve(
+    config: ControllerConfig, hung_up: list[int], operators: Optional["Operators"] = None
+) -> None:
     """Serves until SIGTERM; `hung_up` has the SIGHUPs that came before."""
     loop, over = asyncio.get_running_loop(), asyncio.Event()
-    runtime = make_runtime(place.seed, place.sockets)
-    policy = decider(place, runtime, operators)
-    controller = Controller(place, runtime, policy)
-    turn_on(controller, operators)
+    runtime = make_runtime(config.seed, config.sockets)
+    policy = make_decision_module(config, runtime, operators)
+    controller = Controller(config, runtime, policy)
+    enable_agreed_document(controller, operators)
     for name in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(name, over.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: reload(controller))
-    loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("counters", counters(runtime)))
+    loop.add_signal_handler(signal.SIGUSR1, lambda: log.info("counters", collect_counters(runtime)))
     try:
         await controller.start()
         if hung_up:
             reload(controller)
         where = "%s:%d" % controller.inbound_server.address
-        log.info("started", {"name": place.name, "listen": where, "pid": os.getpid()})
+        log.info("started", {"name": config.name, "listen": where, "pid": os.getpid()})
         await over.wait()
     finally:
         controller.stop()
         if not isinstance(policy, Policy):
             policy.close()
-    log.info("stopped", counters(runtime))
+    log.info("stopped", collect_counters(runtime))
 
 
 def main(hung_up: list[int], operators: Optional["Operators"] = None) -> int:
-    logs.start(operators.log.form if operators else "key-value")
+    logs.configure(operators.log.form if operators else "key-value")
     try:
-        asyncio.run(serve(read_place(os.environ), hung_up, operators))
-    except BadStart as error:
+        asyncio.run(serve(read_config(os.environ), hung_up, operators))
+    except StartupError as error:
         log.error("bad_start", {"key": error.key, "why": error.why})
-        return BAD_START
+        return EXIT_STARTUP_ERROR
     return 0
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -254,7 +254,7 @@
 
     from lifthinge.memory.registry import Registry
     from lifthinge.operators import AgreedPart
-    from lifthinge.service.agreed import AgreedDoor
+    from lifthinge.service.agreed import AgreedDocumentSource
 
     async def play() -> None:
         trio, told, registry = Trio("a"), [], Registry()
@@ -265,7 +265,9 @@
             key_file=str(trio.folder / "clients"),
         )
         site = SimpleNamespace(zones=("za", "zb"), methods=("look", "scan"))
-        door = AgreedDoor(part, "n0", trio.runtime, registry, site, told.extend, trio.keys)
+        door = AgreedDocumentSource(
+            part, "n0", trio.runtime, registry, site, told.extend, trio.keys
+        )
         task = asyncio.create_task(door.follower.run())
         client = trio.client()
         now = trio.runtime.now
--- a/tests/play/network.py
+++ b/tests/play/network.py
@@ -34,7 +34,7 @@
 from lifthinge.memory.slots import SlotPool
 from lifthinge.outer_names import KINDS, outer_name
 from lifthinge.service.controller import Controller
-from lifthinge.service.environment import Place
+from lifthinge.service.environment import ControllerConfig
 from lifthinge.settings import read_layout, read_settings
 
 SITE = {
@@ -312,7 +312,7 @@
         peer_listen, peers = (
             (own, (own, self.udp[0].getsockname())) if site.has_peers else (None, ())
         )
-        place = Place(
+        config = ControllerConfig(
             "n0",
             ("127.0.0.1", 0),
             self.discovery.address,
@@ -327,7 +327,7 @@
             read_settings(self.site),
             site,
         )
-        self.controller = Controller(place, runtime, self.script)
+        self.controller = Controller(config, runtime, self.script)
         await self.controller.start()
         self.address = self.controller.inbound_server.address
 
@@ -341,7 +341,7 @@
                 peer.server.close()
         self.controller.reload(
             replace(
-                self.controller.place, relay=self.relay.address, discovery=self.discovery.address
+                self.controller.config, relay=self.relay.address, discovery=self.discovery.address
             )
         )
         await self._settle()
