--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -64,7 +64,7 @@
 
 
 class AgreedSource(Protocol):
-    """Where the agreed document comes from: `lifthinge.service.agreed.AgreedDoor`."""
+    """Where the agreed document comes from: `lifthinge.service.agreed.AgreedDocumentSource`."""
 
     def event(self) -> Event: ...
 
@@ -150,7 +150,7 @@
             self._run("agreed", self.agreed_source.follower.run)
         self.runtime.deadlines.set(DISCOVERY_WAIT, self._wait_no_more)
 
-    def set_agreed_source(self, agreed: "Agreement") -> None:
+    def set_agreed_source(self, agreed: "AgreedSource") -> None:
         """From the start on, an agreed document is followed, too."""
         self.agreed_source = agreed
 
