--- a/lifthinge/memory/initial_state.py
+++ b/lifthinge/memory/initial_state.py
@@ -40,7 +40,7 @@
         elif isinstance(event, StoredEntry):
             self.lines.setdefault(event.slice, {})[event.backend] = event.weight
 
-    def difference(self, registry: Registry) -> list[Event]:
+    def differences_from(self, registry: Registry) -> list[Event]:
         """What vanished, what is new, and tables that differ though no order has touched them meanwhile."""
         told: list[Event] = [
             ProxyLeft(proxy)
--- a/lifthinge/service/agreed.py
+++ b/lifthinge/service/agreed_source.py
@@ -56,9 +56,9 @@
                 "out": len(found.backends),
             },
         )
-        self.publish([self.event()])
+        self.publish([self.current_event()])
 
-    def event(self) -> OperatorOverrides:
+    def current_event(self) -> OperatorOverrides:
         """What the document says now, in objects; names that this deployment does not know mean nothing to it."""
         document, now = self.document or Document(), self.runtime.now
         out = [one for one in document.backends if not one.until or one.until > now]
@@ -66,7 +66,9 @@
         if self._deadline is not None:
             self._deadline.cancel()
         self._deadline = (
-            self.runtime.deadlines.set(min(later) - now, lambda: self.publish([self.event()]))
+            self.runtime.deadlines.set(
+                min(later) - now, lambda: self.publish([self.current_event()])
+            )
             if later
             else None
         )
--- a/lifthinge/service/environment.py
+++ b/lifthinge/service/config.py
@@ -49,7 +49,7 @@
     >>> read_config({"ROUTER_NAME": "n3"})
     Traceback (most recent call last):
         ...
-    lifthinge.service.environment.StartupError: ROUTER_LISTEN: missing
+    lifthinge.service.config.StartupError: ROUTER_LISTEN: missing
     """
     for key in ("ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG"):
         if not environment.get(key):
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -36,7 +36,7 @@
 from lifthinge.memory.registry import Registry
 from lifthinge.memory.runtime import Runtime
 from lifthinge.outer_names import outer_name
-from lifthinge.service.environment import ControllerConfig, StartupError, fields_needing_restart
+from lifthinge.service.config import ControllerConfig, StartupError, fields_needing_restart
 from lifthinge.wire.discovery import DiscoveryClient
 from lifthinge.wire.inbound import InboundServer
 from lifthinge.wire.peers import PeerTransport
@@ -64,9 +64,9 @@
 
 
 class AgreedSource(Protocol):
-    """Where the agreed document comes from: `lifthinge.service.agreed.AgreedDocumentSource`."""
+    """Where the agreed document comes from: `lifthinge.service.agreed_source.AgreedDocumentSource`."""
 
-    def event(self) -> Event: ...
+    def current_event(self) -> Event: ...
 
     def close(self) -> None: ...
 
@@ -84,7 +84,7 @@
         )
         self.translator = MessageTranslator(config.site, self.registry)
         self.inbound_server = InboundServer(
-            runtime, self.translator, _inbound(config), lambda: self.ready, self.publish
+            runtime, self.translator, _inbound(config), lambda: self.is_ready, self.publish
         )
         self.relay = RelayClient(
             runtime,
@@ -117,7 +117,7 @@
             config.site.controller_number,
             lambda note: self.publish([note]),
         )
-        self.ready = False  # it can decide, and knows what stands
+        self.is_ready = False  # it can decide, and knows what stands
         self._late = False  # discovery need not be waited for any longer
         self._turn_due = False
         self._events: list[Event] = []
@@ -156,7 +156,9 @@
 
     def _tell_list(self, news: FleetNews) -> None:
         """A list may bring backends that the agreed document names."""
-        self.publish([news] if self.agreed_source is None else [news, self.agreed_source.event()])
+        self.publish(
+            [news] if self.agreed_source is None else [news, self.agreed_source.current_event()]
+        )
 
     def reload(self, new: ControllerConfig) -> None:
         """Goes on by a new configuration: what has moved is met at its new address before the old is left."""
@@ -274,7 +276,7 @@
         ) as error:  # what is decided next may be better; who asks hears that it is not well
             log.error("decision_failed", {"error": repr(error)}, exc_info=True)
             self.runtime.counters.add("decision_failed")
-            self.ready = False
+            self.is_ready = False
             self.runtime.deadlines.set(
                 self.config.terms.report_interval_ms, lambda: self.publish([])
             )
@@ -290,8 +292,8 @@
             if not self.translator.is_relay_order(order):
                 self._carry[type(order)](order)
         listed = self.discovery.has_answered or self._late or self.config.site.news_on_request
-        if not self.ready and self.relay_watch.has_initial_state and listed:
-            self.ready = True
+        if not self.is_ready and self.relay_watch.has_initial_state and listed:
+            self.is_ready = True
             log.info(
                 "ready",
                 {
--- a/lifthinge/service/run.py
+++ b/lifthinge/service/run.py
@@ -16,8 +16,8 @@
 from lifthinge.memory.slots import SlotPool
 from lifthinge.policy import Policy
 from lifthinge.service import logs
+from lifthinge.service.config import ControllerConfig, StartupError, read_config
 from lifthinge.service.controller import Controller, DecisionModule
-from lifthinge.service.environment import ControllerConfig, StartupError, read_config
 
 if TYPE_CHECKING:
     from lifthinge.operators import Operators
@@ -72,7 +72,7 @@
     if operators is None or operators.agreed is None:
         return
     from lifthinge.cluster.keys import NoKeys
-    from lifthinge.service.agreed import AgreedDocumentSource, open_key_file
+    from lifthinge.service.agreed_source import AgreedDocumentSource, open_key_file
 
     keys = open_key_file(operators.agreed)
     if isinstance(keys, NoKeys):
--- a/lifthinge/wire/inbound.py
+++ b/lifthinge/wire/inbound.py
@@ -113,7 +113,7 @@
         if kind == protocol.HEARTBEAT:
             self.runtime.counters.add("beats.asked")
             self.owes_beat = True
-            if self.inbound_server.ready():
+            if self.inbound_server.is_ready():
                 self.beat()
             return None
         if kind == protocol.COLLECTOR_HELLO:
@@ -163,14 +163,14 @@
         runtime: Runtime,
         translator: MessageTranslator,
         most: int,
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
         publish: Callable[[list[Event]], None],
     ) -> None:
-        self.runtime, self.translator, self.max_connections, self.ready, self.publish = (
+        self.runtime, self.translator, self.max_connections, self.is_ready, self.publish = (
             runtime,
             translator,
             most,
-            ready,
+            is_ready,
             publish,
         )
         self._strangers: dict[InboundConnection, None] = {}  # oldest first
--- a/lifthinge/wire/relay_client.py
+++ b/lifthinge/wire/relay_client.py
@@ -37,12 +37,16 @@
         translator: MessageTranslator,
         pending_orders: PendingOrders,
         where: tuple[str, int],
-        changed: Callable[[], None],
-        refused: Callable[[Order], None],
-        given_up: Callable[[list[Order]], None],
+        on_state_changed: Callable[[], None],
+        on_order_refused: Callable[[Order], None],
+        on_call_abandoned: Callable[[list[Order]], None],
     ) -> None:
         self.runtime, self.translator, self.pending_orders = runtime, translator, pending_orders
-        self.changed, self.refused, self.given_up = changed, refused, given_up
+        self.on_state_changed, self.on_order_refused, self.on_call_abandoned = (
+            on_state_changed,
+            on_order_refused,
+            on_call_abandoned,
+        )
         self.unknown_seal = 0  # the seal of a call whose fate is unknown, until it goes out again
         self.is_broken_off = (
             False  # whether it broke off; else the relay was silent or could not be read
@@ -94,7 +98,7 @@
                 )
                 await self._settle(call, result)
             self._given.clear()
-            self.changed()
+            self.on_state_changed()
 
     def close(self) -> None:
         self._client.close()
@@ -123,7 +127,7 @@
                 self.runtime.rate_limited_log.warning(
                     "order_refused", order=call[accepted].body.decode()
                 )
-                self.refused(call[accepted].order)
+                self.on_order_refused(call[accepted].order)
         elif isinstance(answer, dict) and answer.get(protocol.ERROR) == protocol.THROTTLED:
             await self.runtime.pause(THROTTLE_WAIT)
         else:
@@ -140,7 +144,7 @@
             self.runtime.rate_limited_log.warning("relay_call_given_up", orders=len(call))
             self.pending_orders.settle(call)
             self._errors = 0
-            self.given_up([one.order for one in call])
+            self.on_call_abandoned([one.order for one in call])
         else:
             await self._again(True)
 
@@ -153,7 +157,7 @@
         if may_have_run and (seal := self.pending_orders.next_seal()):
             self.unknown_seal, self.is_broken_off = seal, broken
             self._known.clear()
-            self.changed()
+            self.on_state_changed()
             await self._known.wait()
 
     def _end_doubt(self) -> None:
--- a/lifthinge/wire/relay_watch.py
+++ b/lifthinge/wire/relay_watch.py
@@ -190,7 +190,9 @@
         if former is not None and former is not connection:
             former.abort()
         told = (
-            connection.initial_state.difference(self.registry) if connection.initial_state else []
+            connection.initial_state.differences_from(self.registry)
+            if connection.initial_state
+            else []
         )
         connection.initial_state = None
         self.runtime.counters.add("news.stands")
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -42,7 +42,7 @@
     "raft.messages",
     "raft.node",
     "raft.progress",
-    "service.environment",
+    "service.config",
     "service.logs",
     "store.records",
     "store.store",
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -254,7 +254,7 @@
 
     from lifthinge.memory.registry import Registry
     from lifthinge.operators import AgreedPart
-    from lifthinge.service.agreed import AgreedDocumentSource
+    from lifthinge.service.agreed_source import AgreedDocumentSource
 
     async def play() -> None:
         trio, told, registry = Trio("a"), [], Registry()
--- a/tests/play/network.py
+++ b/tests/play/network.py
@@ -33,8 +33,8 @@
 from lifthinge.memory.runtime import Runtime
 from lifthinge.memory.slots import SlotPool
 from lifthinge.outer_names import KINDS, outer_name
+from lifthinge.service.config import ControllerConfig
 from lifthinge.service.controller import Controller
-from lifthinge.service.environment import ControllerConfig
 from lifthinge.settings import read_layout, read_settings
 
 SITE = {
