--- a/lifthinge/agreed/commands.py
+++ b/lifthinge/agreed/commands.py
@@ -5,13 +5,13 @@
 import msgspec
 
 
-class OpenSession(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class OpenSession(msgspec.Struct, array_like=True, frozen=True, tag="OpenSession"):
     """A client begins; its number is the index of this entry."""
 
     nonce: bytes
 
 
-class Propose(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Propose(msgspec.Struct, array_like=True, frozen=True, tag="Propose"):
     """A document in place of version `on`; sent again under the same number it takes effect once."""
 
     session: int
@@ -22,11 +22,11 @@
     body: bytes  # of the document, packed
 
 
-class Opened(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Opened(msgspec.Struct, array_like=True, frozen=True, tag="Opened"):
     session: int
 
 
-class Accepted(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Accepted(msgspec.Struct, array_like=True, frozen=True, tag="Accepted"):
     """The document stands as this version; `term` and `index` order it among all that ever stood."""
 
     version: int
@@ -34,13 +34,13 @@
     index: int
 
 
-class Outdated(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Outdated(msgspec.Struct, array_like=True, frozen=True, tag="Outdated"):
     """The change was made on another version than the one that stands: compare and set failed."""
 
     version: int
 
 
-class Unusable(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Unusable(msgspec.Struct, array_like=True, frozen=True, tag="Unusable"):
     """The session is unknown or long past this number, or the document can't be used; nothing took effect."""
 
     why: str
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -525,7 +525,7 @@
             self._asks -= 1
             if ask.link in self._each:
                 self._each[ask.link] -= 1
-        self.runtime.counters.add(f"member.answers.{type(reply).__name__}")
+        self.runtime.counters.add(f"member.answers.{reply.__struct_config__.tag}")
         ask.link.say(talk.pack(ask.number, reply))
 
     # Front ends.
--- a/lifthinge/cluster/talk.py
+++ b/lifthinge/cluster/talk.py
@@ -7,40 +7,40 @@
 from lifthinge.agreed.commands import Accepted, Opened, Outdated, Propose, Unusable, Version
 
 
-class Begin(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Begin(msgspec.Struct, array_like=True, frozen=True, tag="Begin"):
     """Opens a session, within which proposals are numbered."""
 
     nonce: bytes
 
 
-class Show(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Show(msgspec.Struct, array_like=True, frozen=True, tag="Show"):
     """The document that stands now, agreed by a majority; `version` asks for one of before."""
 
     version: int | None = None
 
 
-class History(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class History(msgspec.Struct, array_like=True, frozen=True, tag="History"):
     """Versions from `since` on, without their bodies; as many as fit."""
 
     since: int = 0
 
 
-class Status(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Status(msgspec.Struct, array_like=True, frozen=True, tag="Status"):
     """How the member sees the cluster; answered at any time."""
 
 
-class Change(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Change(msgspec.Struct, array_like=True, frozen=True, tag="Change"):
     """Adds a member, or removes it where no address is given."""
 
     name: str
     address: str | None = None
 
 
-class HandOver(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class HandOver(msgspec.Struct, array_like=True, frozen=True, tag="HandOver"):
     target: str
 
 
-class Follow(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Follow(msgspec.Struct, array_like=True, frozen=True, tag="Follow"):
     """A front end: the document that stands, then each that follows. `held`: term and index that it obeys."""
 
     held: tuple[int, int] = (0, 0)
@@ -49,7 +49,7 @@
 Ask = Union[Begin, Propose, Show, History, Status, Change, HandOver, Follow]
 
 
-class Sorry(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Sorry(msgspec.Struct, array_like=True, frozen=True, tag="Sorry"):
     """Refused, at once: why, and who leads. `may_have_run`: it went to the log, and what became of it is unknown."""
 
     why: str
@@ -58,15 +58,15 @@
     may_have_run: bool = False
 
 
-class Shown(Version, array_like=True, frozen=True, tag=True):
+class Shown(Version, array_like=True, frozen=True, tag="Shown"):
     """A version as it is told; version 0 with no body where none was ever agreed."""
 
 
-class Versions(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Versions(msgspec.Struct, array_like=True, frozen=True, tag="Versions"):
     versions: tuple[Shown, ...]
 
 
-class Done(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Done(msgspec.Struct, array_like=True, frozen=True, tag="Done"):
     """A change of members stands."""
 
     index: int
@@ -82,7 +82,7 @@
     heard_ms: float = -1.0
 
 
-class Report(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Report(msgspec.Struct, array_like=True, frozen=True, tag="Report"):
     """How a member sees the cluster."""
 
     name: str
--- a/lifthinge/raft/messages.py
+++ b/lifthinge/raft/messages.py
@@ -42,7 +42,7 @@
     votes: bool = True
 
 
-class Roster(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Roster(msgspec.Struct, array_like=True, frozen=True, tag="Roster"):
     """Who the members are; in force from the moment its entry is in the log, committed or not."""
 
     members: tuple[Member, ...] = ()
@@ -89,7 +89,7 @@
 # Between members
 
 
-class RequestVote(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class RequestVote(msgspec.Struct, array_like=True, frozen=True, tag="RequestVote"):
     """`pre`: would you vote for me; `forced`: the leader itself wants this election (leader transfer)."""
 
     term: int
@@ -99,7 +99,7 @@
     forced: bool = False
 
 
-class Vote(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class Vote(msgspec.Struct, array_like=True, frozen=True, tag="Vote"):
     """A granted pre-vote bears the term it was asked for; any other answer the sender's own."""
 
     term: int
@@ -107,7 +107,7 @@
     granted: bool
 
 
-class AppendEntries(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class AppendEntries(msgspec.Struct, array_like=True, frozen=True, tag="AppendEntries"):
     """`beat` numbers the leader's rounds, for ReadIndex and its check of quorum."""
 
     term: int
@@ -118,7 +118,7 @@
     beat: int = 0
 
 
-class AppendReply(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class AppendReply(msgspec.Struct, array_like=True, frozen=True, tag="AppendReply"):
     """If ok, up to where the logs agree: for good (`match`), and yet to be written (`held`).
 
     Else, for the refused `prev_index`, the term that stands there and its first index.
@@ -134,7 +134,7 @@
     hint_term: int = 0
 
 
-class InstallSnapshot(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class InstallSnapshot(msgspec.Struct, array_like=True, frozen=True, tag="InstallSnapshot"):
     """One chunk of a snapshot of `size` bytes, from `offset`."""
 
     term: int
@@ -148,7 +148,7 @@
     data: bytes
 
 
-class SnapshotReply(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class SnapshotReply(msgspec.Struct, array_like=True, frozen=True, tag="SnapshotReply"):
     """From where the next chunk is wanted; `done`: nothing more is, all up to `index` is held."""
 
     term: int
@@ -159,20 +159,20 @@
     done: bool = False
 
 
-class TimeoutNow(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class TimeoutNow(msgspec.Struct, array_like=True, frozen=True, tag="TimeoutNow"):
     """The receiver has all entries and shall campaign at once."""
 
     term: int
 
 
-class ReadIndex(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class ReadIndex(msgspec.Struct, array_like=True, frozen=True, tag="ReadIndex"):
     """A member asks the leader up to where it must have applied, to serve what is true now."""
 
     term: int
     token: int
 
 
-class ReadReply(msgspec.Struct, array_like=True, frozen=True, tag=True):
+class ReadReply(msgspec.Struct, array_like=True, frozen=True, tag="ReadReply"):
     """`index` is -1 where the one asked does not lead, or can't take more reads."""
 
     term: int
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from lifthinge.agreed import commands
 from lifthinge.agreed.commands import Accepted, Opened, Outdated, Propose
 from lifthinge.cluster import talk
 from lifthinge.cluster.client import AgreedClient
@@ -16,6 +17,7 @@
 from lifthinge.cluster.link import Link
 from lifthinge.cluster.member import MemberServer, Seat
 from lifthinge.cluster.sealing import FORM, HEAD, Hello, Sealer, read_hello, sign, talk_of
+from lifthinge.raft import messages as raft_messages
 from lifthinge.raft.messages import Member, Roster
 from lifthinge.raft.node import Pace
 from lifthinge.service.run import make_runtime
@@ -328,6 +330,56 @@
     asyncio.run(asyncio.wait_for(play(), 60.0))
 
 
+def check_tags_on_the_wire() -> None:
+    """A renamed class must not change the tag by which a message or a stored command is told."""
+    version = (1, 1, 1, 0.0, "op", b"", b"")
+    report = ("a", "leader", 1, "a", 0, 0, 0, 0, b"", True, True, (), {})
+    messages_by_tag = {
+        "Roster": raft_messages.Roster(),
+        "RequestVote": raft_messages.RequestVote(1, 0, 0),
+        "Vote": raft_messages.Vote(1, False, True),
+        "AppendEntries": raft_messages.AppendEntries(1, 0, 0),
+        "AppendReply": raft_messages.AppendReply(1, 0, True),
+        "InstallSnapshot": raft_messages.InstallSnapshot(
+            1, 0, 1, 1, raft_messages.Roster(), b"", 0, 0, b""
+        ),
+        "SnapshotReply": raft_messages.SnapshotReply(1, 0, 1, b"", 0),
+        "TimeoutNow": raft_messages.TimeoutNow(1),
+        "ReadIndex": raft_messages.ReadIndex(1, 2),
+        "ReadReply": raft_messages.ReadReply(1, 2, 3),
+        "OpenSession": commands.OpenSession(b"n"),
+        "Propose": commands.Propose(1, 1, 0, 0.0, "op", b""),
+        "Opened": commands.Opened(1),
+        "Accepted": commands.Accepted(1, 1, 1),
+        "Outdated": commands.Outdated(1),
+        "Unusable": commands.Unusable("why"),
+        "Begin": talk.Begin(b"n"),
+        "Show": talk.Show(),
+        "History": talk.History(),
+        "Status": talk.Status(),
+        "Change": talk.Change("a"),
+        "HandOver": talk.HandOver("a"),
+        "Follow": talk.Follow(),
+        "Sorry": talk.Sorry("busy"),
+        "Shown": talk.Shown(*version),
+        "Versions": talk.Versions(()),
+        "Done": talk.Done(1),
+        "Report": talk.Report(*report),
+    }
+    for tag, message in messages_by_tag.items():
+        found = msgspec.msgpack.decode(msgspec.msgpack.encode(message))
+        assert isinstance(found, list) and found[0] == tag, (tag, found)
+    tagged = {
+        struct
+        for module in (raft_messages, commands, talk)
+        for struct in vars(module).values()
+        if isinstance(struct, type)
+        and issubclass(struct, msgspec.Struct)
+        and struct.__struct_config__.tag is not None
+    }
+    assert tagged == {type(message) for message in messages_by_tag.values()}, tagged
+
+
 def check_drill() -> None:
     """Twenty seconds of kills, stops and cuts among five processes."""
     from lifthinge.lab.raftdrill import run
