--- a/lifthinge/cluster/disk.py
+++ b/lifthinge/cluster/disk.py
@@ -54,12 +54,12 @@
 class Disk:
     """The store, and in memory what it holds; used by one thread at a time."""
 
-    def __init__(self, store: Store, image: Image, cluster: Cluster | None) -> None:
-        self.store, self.image, self.cluster = store, image, cluster
+    def __init__(self, store: Store, image: Image, identity: Cluster | None) -> None:
+        self.store, self.image, self.identity = store, image, identity
 
     def begin(self, cluster: Cluster) -> None:
         """A new folder learns whose it is."""
-        self.cluster, self.image.roster = cluster, cluster.roster
+        self.identity, self.image.roster = cluster, cluster.roster
         self.store.append(BEGIN, _encode(cluster))
         self.store.sync()
 
@@ -70,14 +70,14 @@
             if write.snapshot is None:
                 self._append(write)
             else:
-                if write.voting or write.entries or write.cut is not None:
+                if write.voting or write.entries or write.truncate_from is not None:
                     self._append(
                         write
                     )  # what the snapshot supersedes is told first, and dropped with it
                 self.image.take(write)
                 kept = [(VOTE, _encode(_Vote(self.image.term, self.image.voted)))]
                 kept += [(ENTRY, _encode(one)) for one in self.image.entries]
-                self.store.save(_encode((self.cluster, write.snapshot)), kept)
+                self.store.save(_encode((self.identity, write.snapshot)), kept)
             due = due or write.snapshot is None
         if due:
             self.store.sync()
@@ -85,8 +85,8 @@
     def _append(self, write: Write) -> None:
         if write.voting:
             self.store.append(VOTE, _encode(_Vote(write.term, write.voted)))
-        if write.cut is not None:
-            self.store.append(CUT, _encode(write.cut))
+        if write.truncate_from is not None:
+            self.store.append(CUT, _encode(write.truncate_from))
         if write.snapshot is not None:
             return
         for one in write.entries:
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -143,13 +143,13 @@
             self._say(to, message)
         if out.writes:
             self.committer.give(out.writes)
-        for one in out.applied:
+        for one in out.to_apply:
             self._apply(one)
         for token, index in out.reads:
             self._to_apply.append((index, token))
         if self._to_apply:
             self._press_reads()
-        if out.applied:
+        if out.to_apply:
             self._tell_followers()
             self._compact()
         self._note_role()
@@ -469,12 +469,14 @@
             self._reads[ask] = what
             self._settle(ask, self.raft.read(ask, self.runtime.now))
         elif type(what) is talk.HandOver:
-            refused = self.raft.hand_over(what.target, self.runtime.now)
+            refused = self.raft.transfer_leadership(what.target, self.runtime.now)
             self._settle(ask, refused) if refused else self._answer(
                 ask, talk.Done(self.raft.commit)
             )
         elif type(what) is talk.Change:
-            self._settle(ask, self.raft.change(what.name, what.address, self.runtime.now))
+            self._settle(
+                ask, self.raft.change_membership(what.name, what.address, self.runtime.now)
+            )
         elif type(what) is talk.Begin:
             self._settle(
                 ask, self.raft.propose(pack_command(OpenSession(what.nonce)), self.runtime.now)
--- a/lifthinge/lab/raftworld.py
+++ b/lifthinge/lab/raftworld.py
@@ -29,7 +29,9 @@
 from lifthinge.raft.node import Pace, Raft, Refused, Role, Write
 
 NAMES = "abcdefg"
-PACE = Pace(election=100.0, beat=20.0, append_bytes=200, chunk_bytes=64, pending_entries=64)
+PACE = Pace(
+    election=100.0, heartbeat_interval_ms=20.0, append_bytes=200, chunk_bytes=64, pending_entries=64
+)
 UNDER_WAY_MOST = 400  # messages; beyond, the oldest are lost
 KEPT_ENTRIES = 4  # behind a snapshot here, so that members need snapshots
 
@@ -221,13 +223,13 @@
         if not known and other not in self.hosts:
             self._place(other, Roster())
         if not known or len(host.raft.log.roster.voters) > 1:
-            host.raft.change(other, None if known else other, self.now)
+            host.raft.change_membership(other, None if known else other, self.now)
         self._take(host)
 
     def hand_over(self, name: str, other: str) -> None:
         host = self.hosts[name]
         if host.raft is not None:
-            host.raft.hand_over(other, self.now)
+            host.raft.transfer_leadership(other, self.now)
             self._take(host)
 
     def compact(self, name: str) -> None:
@@ -351,7 +353,7 @@
             self.wire.append((host.name, to, message))
         del self.wire[: max(len(self.wire) - UNDER_WAY_MOST, 0)]
         host.unsynced += out.writes
-        for one in out.applied:
+        for one in out.to_apply:
             self._applied(host, one)
         for token, index in out.reads:
             if index >= 0:
--- a/lifthinge/raft/image.py
+++ b/lifthinge/raft/image.py
@@ -3,7 +3,7 @@
 >>> from lifthinge.raft.messages import Kind
 >>> image = Image()
 >>> image.take(Write(1, 2, "b", voting=True, entries=[Entry(1, 1, Kind.EMPTY), Entry(2, 1, Kind.COMMAND, b"x")]))
->>> image.take(Write(2, 3, None, voting=True, cut=2, entries=[Entry(2, 3, Kind.EMPTY)]))
+>>> image.take(Write(2, 3, None, voting=True, truncate_from=2, entries=[Entry(2, 3, Kind.EMPTY)]))
 >>> saved = image.saved(); saved.term, saved.voted, [(one.index, one.term) for one in saved.entries]
 (3, None, [(1, 1), (2, 3)])
 >>> image.take(Write(3, 3, None, snapshot=Snapshot(1, 1))); [one.index for one in image.saved().entries]
@@ -57,8 +57,8 @@
         """One write of the protocol, in the order that it asks for."""
         if write.voting:
             self.vote(write.term, write.voted)
-        if write.cut is not None:
-            self.cut(write.cut)
+        if write.truncate_from is not None:
+            self.cut(write.truncate_from)
         if write.snapshot is None:
             for one in write.entries:
                 self.entry(one)
--- a/lifthinge/raft/node.py
+++ b/lifthinge/raft/node.py
@@ -15,9 +15,9 @@
 (1, 'a', 'CANDIDATE')
 >>> alone.durable(out.writes[-1].number); alone.role.name, alone.propose(b"x", 500.0)
 ('LEADER', 2)
->>> out = alone.take(); [one.index for one in out.writes[-1].entries], out.applied
+>>> out = alone.take(); [one.index for one in out.writes[-1].entries], out.to_apply
 ([1, 2], [])
->>> alone.durable(out.writes[-1].number); [one.data for one in alone.take().applied]
+>>> alone.durable(out.writes[-1].number); [one.data for one in alone.take().to_apply]
 [b'', b'x']
 """
 
@@ -88,7 +88,7 @@
     """The protocol's times (ms) and bounds."""
 
     election: float = 1_000.0  # the shortest time without a leader; the longest is twice that
-    beat: float = 100.0  # between a leader's rounds
+    heartbeat_interval_ms: float = 100.0  # between a leader's rounds
     append_bytes: int = 256 << 10  # of one append
     chunk_bytes: int = 256 << 10  # of a snapshot
     pending_entries: int = 4_096  # proposed and not committed
@@ -117,7 +117,7 @@
     voted: str | None
     voting: bool = False  # term or vote changed
     snapshot: Snapshot | None = None
-    cut: int | None = None  # entries from here on are void
+    truncate_from: int | None = None  # entries from here on are void
     entries: list[Entry] = field(default_factory=list)
 
 
@@ -125,7 +125,7 @@
 class Out:
     sends: list[tuple[str, Message]] = field(default_factory=list)
     writes: list[Write] = field(default_factory=list)
-    applied: list[Entry | Snapshot] = field(default_factory=list)
+    to_apply: list[Entry | Snapshot] = field(default_factory=list)
     reads: list[tuple[object, int]] = field(
         default_factory=list
     )  # token, index to be applied first; -1: no
@@ -177,7 +177,7 @@
         )  # write, last index, its term, term
         self._held: deque[tuple[int, str, Message]] = deque()  # until this write is durable
         if first.index:
-            self._out.applied.append(first)
+            self._out.to_apply.append(first)
 
     # What a driver does.
 
@@ -251,7 +251,7 @@
         self._send(self.leader, ReadIndex(self.term, number))
         return None
 
-    def change(self, name: str, address: str | None, now: float) -> int | Refused:
+    def change_membership(self, name: str, address: str | None, now: float) -> int | Refused:
         """Adds a member, as a learner that gets its vote by itself once it has caught up; None removes one."""
         self.now = max(self.now, now)
         blocked, roster = self._change_blocked(), self.log.roster
@@ -271,7 +271,7 @@
         )
         return self._add(Kind.ROSTER, encode(new))
 
-    def hand_over(self, target: str, now: float) -> Refused | None:
+    def transfer_leadership(self, target: str, now: float) -> Refused | None:
         """Lets another voter lead once it holds all; nothing is proposed meanwhile, one election's time at most."""
         self.now = max(self.now, now)
         if self.role is not Role.LEADER:
@@ -308,7 +308,7 @@
             for one in self.progress.values()
         )
 
-    def in_touch(self, now: float, within: float) -> bool:
+    def has_recent_quorum(self, now: float, within: float) -> bool:
         """Whether a majority was heard of lately: as leader from its answers, else from the leader."""
         if self.role is Role.LEADER:
             return self.log.roster.has_quorum(self._heard(now - within))
@@ -514,7 +514,7 @@
     def _begin_beat(self) -> None:
         """A round: who answers it has heard of us now."""
         self.beat += 1
-        self.beat_at, self.beat_wanted = self.now + self.pace.beat, False
+        self.beat_at, self.beat_wanted = self.now + self.pace.heartbeat_interval_ms, False
         for name, one in self.progress.items():
             if self.now - one.heard_at > self.pace.election * RECHECK_PART:
                 one.lost()
@@ -527,7 +527,9 @@
         one, went = self.progress[name], False
         if self.now - one.heard_at > self.pace.election * RECHECK_PART:
             return False
-        while one.may_send(self.now, max(self.pace.beat, self.pace.election * RECHECK_PART)):
+        while one.may_send(
+            self.now, max(self.pace.heartbeat_interval_ms, self.pace.election * RECHECK_PART)
+        ):
             if one.next <= self.log.base[0]:
                 self._say_chunk(name, one)
                 return True
@@ -563,7 +565,7 @@
 
     def _say_chunk(self, name: str, one: Progress) -> None:
         snapshot = self.log.snapshot
-        one.snapshot(snapshot.index, snapshot.mark)
+        one.start_snapshot(snapshot.index, snapshot.mark)
         data = snapshot.data[one.offset : one.offset + self.pace.chunk_bytes]
         one.sent(0, len(data), self.now)
         self._out.sends.append(
@@ -785,8 +787,8 @@
             self._void(snapshot.index + 1)
         self.commit = self.applied = self.claim = snapshot.index
         write = self._writing()
-        write.snapshot, write.cut = snapshot, None if kept else snapshot.index + 1
-        self._out.applied.append(snapshot)
+        write.snapshot, write.truncate_from = snapshot, None if kept else snapshot.index + 1
+        self._out.to_apply.append(snapshot)
         self._send_after(
             sender, SnapshotReply(self.term, said.beat, said.index, said.mark, said.size, done=True)
         )
@@ -819,7 +821,9 @@
         write = self._writing()
         kept = [one for one in write.entries if one.index < first]
         if len(kept) == len(write.entries) or not kept:
-            write.cut = first if write.cut is None else min(write.cut, first)
+            write.truncate_from = (
+                first if write.truncate_from is None else min(write.truncate_from, first)
+            )
         write.entries = kept
 
     def _void(self, first: int) -> None:
@@ -839,7 +843,7 @@
             self.pending[0] -= len(done)
             self.pending[1] -= sum(len(one.data) + ENTRY_COST for one in done)
         self.commit = self.applied = index
-        self._out.applied += done
+        self._out.to_apply += done
 
     def _send(self, to: str, message: Message) -> None:
         """Says something, yet not before the term that it bears is durable."""
--- a/lifthinge/raft/progress.py
+++ b/lifthinge/raft/progress.py
@@ -93,7 +93,7 @@
         self.next = max(self.match + 1, min(hint, prev))
         return True
 
-    def snapshot(self, index: int, mark: bytes) -> None:
+    def start_snapshot(self, index: int, mark: bytes) -> None:
         """What it lacks is in the snapshot alone."""
         if self.mode is not Mode.SNAPSHOT or self.mark != mark:
             self._turn(Mode.SNAPSHOT)
--- a/lifthinge/service/member.py
+++ b/lifthinge/service/member.py
@@ -46,7 +46,7 @@
         ) from None
     if isinstance(disk, Damage):
         raise MemberStartupError(f"{path}: member.folder: {part.folder}/{disk}")
-    if disk.cluster is None:
+    if disk.identity is None:
         if disk.image.term or disk.image.entries:
             raise MemberStartupError(
                 f"{path}: member.folder: {part.folder}: does not say whose it is"
@@ -55,10 +55,10 @@
             tuple(Member(name, address) for name, address in sorted(part.start_with.items()))
         )
         disk.begin(Cluster(part.cluster, part.name, first))
-    elif (disk.cluster.cluster, disk.cluster.member) != (part.cluster, part.name):
+    elif (disk.identity.cluster, disk.identity.member) != (part.cluster, part.name):
         raise MemberStartupError(
-            f"{path}: member.folder: {part.folder}: belongs to {disk.cluster.member} of"
-            f" {disk.cluster.cluster}"
+            f"{path}: member.folder: {part.folder}: belongs to {disk.identity.member} of"
+            f" {disk.identity.cluster}"
         )
     return disk
 
@@ -86,7 +86,7 @@
         part.cluster,
         part.name,
         split_address(part.listen),
-        Pace(election=part.election_ms, beat=part.beat_ms),
+        Pace(election=part.election_ms, heartbeat_interval_ms=part.beat_ms),
         keys,
         part.snapshot_entries,
     )
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -25,7 +25,7 @@
 
 KEY, OTHER, CLIENT = b"k" * 32, b"o" * 32, b"c" * 32
 PATIENCE = 20.0  # s
-PACE = Pace(election=100.0, beat=20.0)
+PACE = Pace(election=100.0, heartbeat_interval_ms=20.0)
 
 
 class Heard:
@@ -178,7 +178,7 @@
 
     async def start(self, name: str, first: Roster) -> None:
         disk = open_disk(Files(self.folder / f"disk-{name}"))
-        if disk.cluster is None:
+        if disk.identity is None:
             disk.begin(Cluster("depots", name, first))
         seat = Seat("depots", name, self.where[name], PACE, lambda role: self.by_role[role])
         server = MemberServer(seat, self.runtime, disk, self.failed.append)
@@ -316,7 +316,7 @@
         opened = await client.ask(talk.Begin(b"n"), trio.runtime.now + 10_000.0)
         assert isinstance(opened, Opened), opened
         server = trio.servers["a"]
-        server.raft.pace = Pace(election=100.0, beat=20.0, pending_entries=0)
+        server.raft.pace = Pace(election=100.0, heartbeat_interval_ms=20.0, pending_entries=0)
         link = await client._reach()
         body = msgspec.msgpack.encode({})
         began = trio.runtime.now
--- a/tests/play/cluster.py
+++ b/tests/play/cluster.py
@@ -152,7 +152,7 @@
     def do_nobody(self) -> None:
         now = self.world.now
         assert not any(
-            host.raft and host.raft.role is Role.LEADER and host.raft.in_touch(now, 100.0)
+            host.raft and host.raft.role is Role.LEADER and host.raft.has_recent_quorum(now, 100.0)
             for host in self.world.hosts.values()
         ), "somebody leads"
 
