--- a/lifthinge/cli/store.py
+++ b/lifthinge/cli/store.py
@@ -33,7 +33,7 @@
         "cluster": cluster.cluster if cluster else None,
         "member": cluster.member if cluster else None,
         "term": image.term,
-        "voted": image.voted,
+        "voted": image.voted_for,
         "snapshot": image.snapshot.index,
         "last": last,
         "segments": found.last - found.first + 1,
--- a/lifthinge/cluster/disk.py
+++ b/lifthinge/cluster/disk.py
@@ -2,14 +2,14 @@
 
 >>> import tempfile
 >>> from pathlib import Path
->>> from lifthinge.raft.messages import Entry, Kind
+>>> from lifthinge.raft.messages import Entry, EntryKind
 >>> files = Files(Path(tempfile.mkdtemp()))
 >>> disk = open_disk(files)
->>> disk.carry_out([Write(1, 3, "b", voting=True, entries=[Entry(1, 3, Kind.COMMAND, b"x")])]); disk.store.close()
->>> disk = open_disk(files); disk.image.saved().voted, disk.image.saved().entries
-('b', (Entry(index=1, term=3, kind=<Kind.COMMAND: 1>, data=b'x'),))
+>>> disk.carry_out([Write(1, 3, "b", has_vote=True, entries=[Entry(1, 3, EntryKind.COMMAND, b"x")])]); disk.store.close()
+>>> disk = open_disk(files); disk.stored_state.persistent_state().voted_for, disk.stored_state.persistent_state().entries
+('b', (Entry(index=1, term=3, kind=<EntryKind.COMMAND: 1>, data=b'x'),))
 >>> disk.carry_out([Write(1, 3, "b", snapshot=Snapshot(1, 3, data=b"s"))]); disk.store.close()
->>> disk = open_disk(files); disk.image.snapshot.data, disk.image.entries, disk.image.term
+>>> disk = open_disk(files); disk.stored_state.snapshot.data, disk.stored_state.entries, disk.stored_state.term
 (b's', [], 3)
 >>> disk.store.close()
 """
@@ -21,9 +21,9 @@
 
 import msgspec
 
-from lifthinge.raft.image import Image
-from lifthinge.raft.messages import Entry, Roster, Snapshot
+from lifthinge.raft.messages import Configuration, Entry, Snapshot
 from lifthinge.raft.node import Write
+from lifthinge.raft.stored_state import StoredState
 from lifthinge.store.files import Files
 from lifthinge.store.store import Damage, Store
 
@@ -32,7 +32,7 @@
 
 class _Vote(msgspec.Struct, array_like=True):
     term: int
-    voted: str | None
+    voted_for: str | None
 
 
 class Cluster(msgspec.Struct, array_like=True):
@@ -40,7 +40,7 @@
 
     cluster: str
     member: str
-    roster: Roster
+    configuration: Configuration
 
 
 _vote, _entry = msgspec.msgpack.Decoder(_Vote), msgspec.msgpack.Decoder(Entry)
@@ -54,12 +54,12 @@
 class Disk:
     """The store, and in memory what it holds; used by one thread at a time."""
 
-    def __init__(self, store: Store, image: Image, identity: Cluster | None) -> None:
-        self.store, self.image, self.identity = store, image, identity
+    def __init__(self, store: Store, stored_state: StoredState, identity: Cluster | None) -> None:
+        self.store, self.stored_state, self.identity = store, stored_state, identity
 
     def begin(self, cluster: Cluster) -> None:
         """A new folder learns whose it is."""
-        self.identity, self.image.roster = cluster, cluster.roster
+        self.identity, self.stored_state.configuration = cluster, cluster.configuration
         self.store.append(BEGIN, _encode(cluster))
         self.store.sync()
 
@@ -70,28 +70,28 @@
             if write.snapshot is None:
                 self._append(write)
             else:
-                if write.voting or write.entries or write.truncate_from is not None:
+                if write.has_vote or write.entries or write.truncate_from is not None:
                     self._append(
                         write
                     )  # what the snapshot supersedes is told first, and dropped with it
-                self.image.take(write)
-                kept = [(VOTE, _encode(_Vote(self.image.term, self.image.voted)))]
-                kept += [(ENTRY, _encode(one)) for one in self.image.entries]
+                self.stored_state.take(write)
+                kept = [(VOTE, _encode(_Vote(self.stored_state.term, self.stored_state.voted_for)))]
+                kept += [(ENTRY, _encode(one)) for one in self.stored_state.entries]
                 self.store.save(_encode((self.identity, write.snapshot)), kept)
             due = due or write.snapshot is None
         if due:
             self.store.sync()
 
     def _append(self, write: Write) -> None:
-        if write.voting:
-            self.store.append(VOTE, _encode(_Vote(write.term, write.voted)))
+        if write.has_vote:
+            self.store.append(VOTE, _encode(_Vote(write.term, write.voted_for)))
         if write.truncate_from is not None:
             self.store.append(CUT, _encode(write.truncate_from))
         if write.snapshot is not None:
             return
         for one in write.entries:
             self.store.append(ENTRY, _encode(one))
-        self.image.take(write)
+        self.stored_state.take(write)
 
 
 def open_disk(files: Files) -> Disk | Damage:
@@ -109,20 +109,20 @@
 
 def replay(
     snapshot: bytes | None, records: Iterable[tuple[int, bytes]]
-) -> tuple[Image, Cluster | None] | Damage:
+) -> tuple[StoredState, Cluster | None] | Damage:
     """What a snapshot and the records after it come to."""
-    image, cluster, place = Image(), None, 0
+    stored_state, cluster, place = StoredState(), None, 0
     try:
         if snapshot is not None:
-            cluster, image.snapshot = _snapshot.decode(snapshot)
+            cluster, stored_state.snapshot = _snapshot.decode(snapshot)
         for place, (kind, data) in enumerate(records):
             if kind == VOTE:
                 vote = _vote.decode(data)
-                image.vote(vote.term, vote.voted)
+                stored_state.set_vote(vote.term, vote.voted_for)
             elif kind == CUT:
-                image.cut(msgspec.msgpack.decode(data, type=int))
+                stored_state.truncate(msgspec.msgpack.decode(data, type=int))
             elif kind == ENTRY:
-                image.entry(_entry.decode(data))
+                stored_state.append(_entry.decode(data))
             elif kind == BEGIN:
                 cluster = _cluster.decode(data)
             else:
@@ -130,8 +130,8 @@
     except (msgspec.ValidationError, msgspec.DecodeError, ValueError) as error:
         return Damage("log", place, f"record {place}: {error}")
     if cluster is not None:
-        image.roster = cluster.roster
-    return image, cluster
+        stored_state.configuration = cluster.configuration
+    return stored_state, cluster
 
 
 class Committer:
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -21,8 +21,8 @@
 from lifthinge.memory.attempts import Failure
 from lifthinge.memory.runtime import Runtime
 from lifthinge.raft import messages
-from lifthinge.raft.messages import Entry, Kind, Snapshot
-from lifthinge.raft.node import NEVER, Pace, Raft, Refused, Role, Why
+from lifthinge.raft.messages import Entry, EntryKind, Snapshot
+from lifthinge.raft.node import NEVER, Raft, RaftOptions, Refusal, RefusalReason, Role
 from lifthinge.wire.connection import connect
 
 log = logging.getLogger(__name__)
@@ -47,7 +47,7 @@
     cluster: str
     name: str
     listen: Address
-    pace: Pace
+    options: RaftOptions
     keys: Callable[[str], Keys]
     snapshot_entries: int = 20_000  # behind the last snapshot: time for another
 
@@ -70,7 +70,9 @@
         self, seat: Seat, runtime: Runtime, disk: Disk, fatal: Callable[[str], None]
     ) -> None:
         self.seat, self.runtime, self.fatal = seat, runtime, fatal
-        self.raft = Raft(seat.name, runtime.rng, runtime.now, disk.image.saved(), seat.pace)
+        self.raft = Raft(
+            seat.name, runtime.rng, runtime.now, disk.stored_state.persistent_state(), seat.options
+        )
         self.state = Agreed()
         self.committer = Committer(disk, self._durable, lambda error: self._fail(f"disk: {error}"))
         self.ready = False  # it has applied what was committed when it first asked
@@ -139,7 +141,7 @@
         if self._over:
             return
         out = self.raft.take()
-        for to, message in out.sends:
+        for to, message in out.messages:
             self._say(to, message)
         if out.writes:
             self.committer.give(out.writes)
@@ -157,7 +159,7 @@
 
     def _arm(self) -> None:
         """A time that has moved on is not set anew each time: it is looked at once the former one is due."""
-        due = self.raft.due
+        due = self.raft.next_tick_at
         if self._tick is not None and self._tick.pending:
             if self._tick.at <= due:
                 return
@@ -175,11 +177,11 @@
         """Every election's time: links are up before they are needed, as an election waits for no dial."""
         if self._over:
             return
-        for one in self.raft.log.roster.members:
+        for one in self.raft.log.configuration.members:
             if one.name != self.seat.name:
                 self._reach(one.name)
         self._note_touch()
-        self.runtime.deadlines.set(self.seat.pace.election, self._look_around)
+        self.runtime.deadlines.set(self.seat.options.election_timeout_ms, self._look_around)
 
     def _durable(self, number: int) -> None:
         if not self._over:
@@ -193,11 +195,11 @@
                 {"term": self.raft.term},
             )
         self._role = self.raft.role
-        roster = self.raft.log.roster
+        configuration = self.raft.log.configuration
         if (
-            roster.members
-            and not roster.get(self.seat.name)
-            and self.raft.commit >= self.raft.log.roster_index
+            configuration.members
+            and not configuration.get(self.seat.name)
+            and self.raft.commit_index >= self.raft.log.configuration_index
         ):
             if not self.removed:
                 log.warning("removed", {"member": self.seat.name})
@@ -206,7 +208,9 @@
             self.removed = False
 
     def _note_touch(self) -> None:
-        touch = self.raft.in_touch(self.runtime.now, TOUCH_LEAST * self.seat.pace.election)
+        touch = self.raft.in_touch(
+            self.runtime.now, TOUCH_LEAST * self.seat.options.election_timeout_ms
+        )
         if touch != self.in_touch:
             self.in_touch = touch
             log.log(
@@ -229,7 +233,7 @@
                         ask, Sorry("its fate is unknown", may_have_run=True, **self._leader())
                     )
             return
-        if one.kind is Kind.COMMAND:
+        if one.kind is EntryKind.COMMAND:
             answer = self.state.apply(one.index, one.term, one.data)
         else:
             self.state.passed(one.index, one.term)
@@ -243,9 +247,9 @@
             )
 
     def _compact(self) -> None:
-        behind, size = self.state.index - self.raft.log.snapshot.index, self.raft.log.bytes
+        behind, size = self.state.index - self.raft.log.snapshot.index, self.raft.log.size_bytes
         due = max(behind / self.seat.snapshot_entries, size / SNAPSHOT_BYTES)
-        if due < 1 or due < SNAPSHOT_LATEST and self.raft.sending_snapshot:
+        if due < 1 or due < SNAPSHOT_LATEST and self.raft.is_sending_snapshot:
             return
         if self.raft.compact(self.state.index, self.state.export()):
             self.runtime.counters.add("member.snapshots")
@@ -287,7 +291,7 @@
         if self.ready or self._over:
             return
         if not self._catching_up and not isinstance(
-            self.raft.read("catch-up", self.runtime.now), Refused
+            self.raft.read("catch-up", self.runtime.now), Refusal
         ):
             self._catching_up = True
             self.runtime.deadlines.set(READ_WAIT, self._catch_up_late)
@@ -296,7 +300,7 @@
 
     def _catch_up_late(self) -> None:
         if self._catching_up:
-            self.raft.give_up("catch-up")
+            self.raft.cancel_read("catch-up")
             self._catching_up = False
 
     def _caught_up(self, index: int) -> None:
@@ -312,7 +316,7 @@
 
     def _say(self, to: str, message: messages.Message) -> None:
         link = self._out.get(to)
-        if link is None and to in self._from and self.raft.log.roster.get(to) is None:
+        if link is None and to in self._from and self.raft.log.configuration.get(to) is None:
             link = self._from[
                 to
             ]  # a newcomer knows nobody's address yet: it answers where it was asked
@@ -340,11 +344,11 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _dial(self, to: str) -> None:
-        member = self.raft.log.roster.get(to) or next(
+        member = self.raft.log.configuration.get(to) or next(
             (
                 one
-                for _, roster in self.raft.log.rosters
-                for one in roster.members
+                for _, configuration in self.raft.log.configurations
+                for one in configuration.members
                 if one.name == to
             ),
             None,
@@ -441,7 +445,7 @@
 
     def _leader(self) -> dict[str, str]:
         name = self.raft.leader or ""
-        member = self.raft.log.roster.get(name)
+        member = self.raft.log.configuration.get(name)
         return {"leader": name, "address": member.address if member else ""}
 
     def _asked(self, link: Link, number: int, what: talk.Ask) -> None:
@@ -451,7 +455,7 @@
             return
         if self._each.get(link, 0) >= ASKS_EACH or self._asks >= ASKS_MOST:
             self.runtime.counters.add("member.busy")
-            link.say(talk.pack(number, Sorry(Why.BUSY.value, **self._leader())))
+            link.say(talk.pack(number, Sorry(RefusalReason.BUSY.value, **self._leader())))
             return
         if type(what) is talk.Follow:
             self._follow(ask, what)
@@ -471,7 +475,7 @@
         elif type(what) is talk.HandOver:
             refused = self.raft.transfer_leadership(what.target, self.runtime.now)
             self._settle(ask, refused) if refused else self._answer(
-                ask, talk.Done(self.raft.commit)
+                ask, talk.Done(self.raft.commit_index)
             )
         elif type(what) is talk.Change:
             self._settle(
@@ -499,9 +503,9 @@
         else:
             self._settle(ask, self.raft.propose(pack_command(what), self.runtime.now))
 
-    def _settle(self, ask: _Ask, came: int | Refused | None) -> None:
+    def _settle(self, ask: _Ask, came: int | Refusal | None) -> None:
         """What the protocol made of an ask: an index to wait for, a refusal, or (a read) nothing yet."""
-        if isinstance(came, Refused):
+        if isinstance(came, Refusal):
             self._reads.pop(ask, None)
             self._answer(ask, Sorry(came.why.value, **self._leader()))
         elif came is not None:
@@ -510,7 +514,7 @@
 
     def _given_up(self, ask: _Ask) -> None:
         if self._reads.pop(ask, None) is not None:
-            self.raft.give_up(ask)
+            self.raft.cancel_read(ask)
         self._proposed = {
             index: left
             for index, asks in self._proposed.items()
@@ -561,14 +565,14 @@
     def _report(self) -> talk.Report:
         raft, now = self.raft, self.runtime.now
         views = []
-        for one in raft.log.roster.members:
+        for one in raft.log.configuration.members:
             seen = raft.progress.get(one.name)
             views.append(
                 talk.MemberView(
                     one.name,
                     one.address,
                     one.votes,
-                    seen.match if seen else -1,
+                    seen.match_index if seen else -1,
                     now - seen.heard_at if seen else -1.0,
                 )
             )
@@ -577,7 +581,7 @@
             raft.role.name.lower(),
             raft.term,
             raft.leader or "",
-            raft.commit,
+            raft.commit_index,
             raft.log.last_index,
             raft.log.snapshot.index,
             self.state.version,
--- a/lifthinge/lab/faults.py
+++ b/lifthinge/lab/faults.py
@@ -5,13 +5,13 @@
 
 from lifthinge.agreed.state import Agreed, Fence
 from lifthinge.raft.messages import Entry
-from lifthinge.raft.node import Raft, Refused
+from lifthinge.raft.node import Raft, Refusal
 
 
 class CommitsOldTerms(Raft):
     """Commits entries of older terms by counting: figure 8 of the paper."""
 
-    def _may_commit(self, index: int) -> bool:
+    def _can_commit(self, index: int) -> bool:
         return True
 
 
@@ -19,27 +19,27 @@
     """Answers before its vote is on disk."""
 
     def _save_vote(self) -> None:
-        self._writing()  # the term and the vote stay in memory
+        self._open_write()  # the term and the vote stay in memory
 
 
 class VotesForAnyone(Raft):
     """Votes for who lacks what it holds."""
 
-    def _is_current(self, last_term: int, last_index: int) -> bool:
+    def _is_log_up_to_date(self, last_term: int, last_index: int) -> bool:
         return True
 
 
 class CutsWhatMatches(Raft):
     """Cuts all after the previous entry, although it matches: a late, short append takes committed entries."""
 
-    def _conflict(self, entries: tuple[Entry, ...]) -> int:
+    def _first_conflict(self, entries: tuple[Entry, ...]) -> int:
         return 0
 
 
 class ChangesTwoAtOnce(Raft):
     """Begins a change of members while another is under way."""
 
-    def _change_blocked(self) -> Refused | None:
+    def _change_blocked(self) -> Refusal | None:
         blocked = super()._change_blocked()
         return blocked if blocked and blocked.leader != self.name else None
 
@@ -47,7 +47,7 @@
 class ReadsWithoutQuorum(Raft):
     """Answers reads without asking whether it still leads."""
 
-    def _confirmed(self, beat: int) -> bool:
+    def _is_round_confirmed(self, beat: int) -> bool:
         return True
 
 
--- a/lifthinge/lab/raftworld.py
+++ b/lifthinge/lab/raftworld.py
@@ -13,24 +13,28 @@
 from lifthinge.agreed.commands import Accepted, Answer, Opened, OpenSession, Propose, Unusable, pack
 from lifthinge.agreed.state import Agreed, Fence
 from lifthinge.lab.faults import FAULTS
-from lifthinge.raft.image import Image
 from lifthinge.raft.messages import (
     AppendEntries,
+    Configuration,
     Entry,
-    Kind,
+    EntryKind,
     Member,
     Message,
     RequestVote,
-    Roster,
+    RequestVoteReply,
     Snapshot,
-    Vote,
-    read_roster,
+    decode_configuration,
 )
-from lifthinge.raft.node import Pace, Raft, Refused, Role, Write
+from lifthinge.raft.node import Raft, RaftOptions, Refusal, Role, Write
+from lifthinge.raft.stored_state import StoredState
 
 NAMES = "abcdefg"
-PACE = Pace(
-    election=100.0, heartbeat_interval_ms=20.0, append_bytes=200, chunk_bytes=64, pending_entries=64
+PACE = RaftOptions(
+    election_timeout_ms=100.0,
+    heartbeat_interval_ms=20.0,
+    max_append_bytes=200,
+    max_chunk_bytes=64,
+    max_pending_entries=64,
 )
 UNDER_WAY_MOST = 400  # messages; beyond, the oldest are lost
 KEPT_ENTRIES = 4  # behind a snapshot here, so that members need snapshots
@@ -45,7 +49,7 @@
     """One member: what survives (`image`) and what does not."""
 
     name: str
-    image: Image
+    image: StoredState
     raft: Raft | None = None
     state: Agreed = field(default_factory=Agreed)
     unsynced: list[Write] = field(default_factory=list)
@@ -71,7 +75,7 @@
         self.raft_kind = kind if kind and issubclass(kind, Raft) else Raft
         self.state_kind = kind if kind and issubclass(kind, Agreed) else Agreed
         self.dice, self.now = Random(seed), 0.0
-        roster = Roster(tuple(Member(name, name) for name in NAMES[:size]))
+        roster = Configuration(tuple(Member(name, name) for name in NAMES[:size]))
         self.hosts: dict[str, Host] = {}
         self.wire: list[tuple[str, str, Message]] = []
         self.cuts: set[tuple[str, str]] = set()
@@ -94,9 +98,9 @@
         for name in NAMES[:size]:
             self._place(name, roster)
 
-    def _place(self, name: str, roster: Roster) -> None:
-        image = Image()
-        image.roster = roster
+    def _place(self, name: str, roster: Configuration) -> None:
+        image = StoredState()
+        image.configuration = roster
         self.hosts[name] = Host(name, image)
         self.start(name)
 
@@ -106,7 +110,11 @@
         host = self.hosts[name]
         if host.raft is None:
             host.raft = self.raft_kind(
-                name, Random(self.dice.getrandbits(32)), self.now, host.image.saved(), PACE
+                name,
+                Random(self.dice.getrandbits(32)),
+                self.now,
+                host.image.persistent_state(),
+                PACE,
             )
             host.state, host.reads, host.led = self.state_kind(), {}, None
             self.seen["starts"] += 1
@@ -132,7 +140,7 @@
 
     def tick(self, name: str) -> None:
         host = self.hosts[name]
-        if host.raft is not None and host.raft.due <= self.now and name not in self.asleep:
+        if host.raft is not None and host.raft.next_tick_at <= self.now and name not in self.asleep:
             host.raft.tick(self.now)
             self._take(host)
 
@@ -191,7 +199,7 @@
             msgspec.msgpack.encode({"n": self.number}),
         )
         request = Request(command.session, command.number, command)
-        if not isinstance(host.raft.propose(pack(command), self.now), Refused):
+        if not isinstance(host.raft.propose(pack(command), self.now), Refusal):
             self.requests.append(request)
         self._take(host)
 
@@ -219,10 +227,10 @@
         host = self.hosts[name]
         if host.raft is None:
             return
-        known = host.raft.log.roster.get(other)
+        known = host.raft.log.configuration.get(other)
         if not known and other not in self.hosts:
-            self._place(other, Roster())
-        if not known or len(host.raft.log.roster.voters) > 1:
+            self._place(other, Configuration())
+        if not known or len(host.raft.log.configuration.voters) > 1:
             host.raft.change_membership(other, None if known else other, self.now)
         self._take(host)
 
@@ -314,14 +322,14 @@
         """Time passes until it campaigns, and only these hear of it."""
         for _ in range(3):  # others' terms may be ahead: it learns of them by asking
             self.wire = []
-            self.now += 2 * PACE.election + 1
+            self.now += 2 * PACE.election_timeout_ms + 1
             for host in self.hosts.values():
                 if host.raft.role is not Role.LEADER:
-                    host.raft.election_at = self.now + (
-                        0 if host.name == name else 3 * PACE.election
+                    host.raft.election_due_at = self.now + (
+                        0 if host.name == name else 3 * PACE.election_timeout_ms
                     )
             self.tick(name)
-            self._pass({name} | near, 8, (RequestVote, Vote))
+            self._pass({name} | near, 8, (RequestVote, RequestVoteReply))
             if self.hosts[name].raft.role is Role.LEADER:
                 return True
         return False
@@ -349,7 +357,7 @@
 
     def _take(self, host: Host) -> None:
         out = host.raft.take()
-        for to, message in out.sends:
+        for to, message in out.messages:
             self.wire.append((host.name, to, message))
         del self.wire[: max(len(self.wire) - UNDER_WAY_MOST, 0)]
         host.unsynced += out.writes
@@ -379,7 +387,7 @@
         known, term = self.committed.setdefault(one.index, (one, host.raft.term))
         if known != one:
             raise Violation(f"entry {one.index} was applied in two forms")
-        if one.kind is not Kind.COMMAND:
+        if one.kind is not EntryKind.COMMAND:
             host.state.passed(one.index, one.term)
             return
         answer = host.state.apply(one.index, one.term, one.data)
@@ -418,7 +426,9 @@
             late = [
                 one
                 for one in log.entries
-                if one.kind is Kind.ROSTER and one.index > raft.commit and one.term == raft.term
+                if one.kind is EntryKind.CONFIGURATION
+                and one.index > raft.commit_index
+                and one.term == raft.term
             ]
             if len(late) > 1:
                 raise Violation("two changes of members at once")
@@ -430,13 +440,13 @@
                 raise Violation(
                     f"entry {one.index} of term {one.term} differs, or what precedes it"
                 )
-            if one.kind is Kind.ROSTER:
-                new = set(read_roster(one.data).voters)
+            if one.kind is EntryKind.CONFIGURATION:
+                new = set(decode_configuration(one.data).voters)
                 if roster is not None and len(new ^ roster) > 1:
                     raise Violation("a roster changed by more than one")
                 roster = new
             before = one.term
-        if raft.commit > log.last_index:
+        if raft.commit_index > log.last_index:
             raise Violation("more is committed than is held")
 
     def check_end(self) -> None:
@@ -454,7 +464,7 @@
         )
         if leader is None:
             raise Violation("nobody leads although all is well")
-        for name in leader.raft.log.roster.voters:
+        for name in leader.raft.log.configuration.voters:
             host = self.hosts[name]
             if host.state.export() != leader.state.export():
                 raise Violation(f"{name} holds another history than {leader.name}")
--- a/lifthinge/raft/messages.py
+++ b/lifthinge/raft/messages.py
@@ -4,10 +4,10 @@
 (2014): PreVote in 9.6, TimeoutNow in 3.10, ReadIndex in 6.4. Every message bears its sender's term, except that
 a PreVote bears the term that its sender would campaign in.
 
->>> said = AppendEntries(term=3, prev_index=7, prev_term=2, entries=(Entry(8, 3, Kind.COMMAND, b"x"),), commit=6, beat=4)
+>>> said = AppendEntries(term=3, prev_log_index=7, prev_log_term=2, entries=(Entry(8, 3, EntryKind.COMMAND, b"x"),), commit_index=6, heartbeat_round=4)
 >>> decode(encode(said)) == said
 True
->>> decode(encode(Roster((Member("a", "127.0.0.1:1"), Member("b", "127.0.0.1:2", votes=False)))))
+>>> decode(encode(Configuration((Member("a", "127.0.0.1:1"), Member("b", "127.0.0.1:2", votes=False)))))
 Traceback (most recent call last):
     ...
 msgspec.ValidationError: Invalid value 'Roster' - at `$[0]`
@@ -19,18 +19,18 @@
 import msgspec
 
 
-class Kind(IntEnum):
+class EntryKind(IntEnum):
     """What an entry holds."""
 
-    EMPTY = 0  # a leader's first of its term
+    NO_OP = 0  # a leader's first of its term
     COMMAND = 1  # for the state machine
-    ROSTER = 2  # the members from here on
+    CONFIGURATION = 2  # the members from here on
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
     index: int
     term: int
-    kind: Kind
+    kind: EntryKind
     data: bytes = b""
 
 
@@ -42,7 +42,7 @@
     votes: bool = True
 
 
-class Roster(msgspec.Struct, array_like=True, frozen=True, tag="Roster"):
+class Configuration(msgspec.Struct, array_like=True, frozen=True, tag="Roster"):
     """Who the members are; in force from the moment its entry is in the log, committed or not."""
 
     members: tuple[Member, ...] = ()
@@ -57,23 +57,23 @@
     def has_quorum(self, names: set[str]) -> bool:
         """Whether these include a majority of those who vote.
 
-        >>> three = Roster((Member("a", ""), Member("b", ""), Member("c", ""), Member("d", "", votes=False)))
-        >>> three.has_quorum({"a", "d"}), three.has_quorum({"a", "c"}), Roster().has_quorum({"a"})
+        >>> three = Configuration((Member("a", ""), Member("b", ""), Member("c", ""), Member("d", "", votes=False)))
+        >>> three.has_quorum({"a", "d"}), three.has_quorum({"a", "c"}), Configuration().has_quorum({"a"})
         (False, True, False)
         """
         voters = self.voters
         return bool(voters) and sum(name in names for name in voters) * 2 > len(voters)
 
-    def with_member(self, new: Member) -> "Roster":
+    def with_member(self, new: Member) -> "Configuration":
         """This roster with one member new or changed.
 
-        >>> Roster().with_member(Member("a", "", False)).with_member(Member("a", "")).voters
+        >>> Configuration().with_member(Member("a", "", False)).with_member(Member("a", "")).voters
         ('a',)
         """
-        return Roster((*(one for one in self.members if one.name != new.name), new))
+        return Configuration((*(one for one in self.members if one.name != new.name), new))
 
-    def without(self, name: str) -> "Roster":
-        return Roster(tuple(one for one in self.members if one.name != name))
+    def without_member(self, name: str) -> "Configuration":
+        return Configuration(tuple(one for one in self.members if one.name != name))
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
@@ -81,9 +81,9 @@
 
     index: int = 0
     term: int = 0
-    roster: Roster = Roster()
+    configuration: Configuration = Configuration()
     data: bytes = b""
-    mark: bytes = b""
+    digest: bytes = b""
 
 
 # Between members
@@ -95,15 +95,15 @@
     term: int
     last_index: int
     last_term: int
-    pre: bool = False
-    forced: bool = False
+    is_pre_vote: bool = False
+    is_leadership_transfer: bool = False
 
 
-class Vote(msgspec.Struct, array_like=True, frozen=True, tag="Vote"):
+class RequestVoteReply(msgspec.Struct, array_like=True, frozen=True, tag="Vote"):
     """A granted pre-vote bears the term it was asked for; any other answer the sender's own."""
 
     term: int
-    pre: bool
+    is_pre_vote: bool
     granted: bool
 
 
@@ -111,50 +111,50 @@
     """`beat` numbers the leader's rounds, for ReadIndex and its check of quorum."""
 
     term: int
-    prev_index: int
-    prev_term: int
+    prev_log_index: int
+    prev_log_term: int
     entries: tuple[Entry, ...] = ()
-    commit: int = 0
-    beat: int = 0
+    commit_index: int = 0
+    heartbeat_round: int = 0
 
 
-class AppendReply(msgspec.Struct, array_like=True, frozen=True, tag="AppendReply"):
+class AppendEntriesReply(msgspec.Struct, array_like=True, frozen=True, tag="AppendReply"):
     """If ok, up to where the logs agree: for good (`match`), and yet to be written (`held`).
 
     Else, for the refused `prev_index`, the term that stands there and its first index.
     """
 
     term: int
-    beat: int
-    ok: bool
-    match: int = 0
-    held: int = 0
-    prev_index: int = 0
-    hint_index: int = 0
-    hint_term: int = 0
+    heartbeat_round: int
+    success: bool
+    match_index: int = 0
+    received_index: int = 0
+    prev_log_index: int = 0
+    conflict_index: int = 0
+    conflict_term: int = 0
 
 
 class InstallSnapshot(msgspec.Struct, array_like=True, frozen=True, tag="InstallSnapshot"):
     """One chunk of a snapshot of `size` bytes, from `offset`."""
 
     term: int
-    beat: int
+    heartbeat_round: int
     index: int
     last_term: int
-    roster: Roster
-    mark: bytes
+    configuration: Configuration
+    digest: bytes
     size: int
     offset: int
     data: bytes
 
 
-class SnapshotReply(msgspec.Struct, array_like=True, frozen=True, tag="SnapshotReply"):
+class InstallSnapshotReply(msgspec.Struct, array_like=True, frozen=True, tag="SnapshotReply"):
     """From where the next chunk is wanted; `done`: nothing more is, all up to `index` is held."""
 
     term: int
-    beat: int
+    heartbeat_round: int
     index: int
-    mark: bytes
+    digest: bytes
     offset: int
     done: bool = False
 
@@ -172,7 +172,7 @@
     token: int
 
 
-class ReadReply(msgspec.Struct, array_like=True, frozen=True, tag="ReadReply"):
+class ReadIndexReply(msgspec.Struct, array_like=True, frozen=True, tag="ReadReply"):
     """`index` is -1 where the one asked does not lead, or can't take more reads."""
 
     term: int
@@ -182,18 +182,18 @@
 
 Message = Union[
     RequestVote,
-    Vote,
+    RequestVoteReply,
     AppendEntries,
-    AppendReply,
+    AppendEntriesReply,
     InstallSnapshot,
-    SnapshotReply,
+    InstallSnapshotReply,
     TimeoutNow,
     ReadIndex,
-    ReadReply,
+    ReadIndexReply,
 ]
 
 _decoder = msgspec.msgpack.Decoder(Message)
-_roster_decoder = msgspec.msgpack.Decoder(Roster)
+_roster_decoder = msgspec.msgpack.Decoder(Configuration)
 _encoder = msgspec.msgpack.Encoder()
 
 
@@ -206,5 +206,5 @@
     return _decoder.decode(body)
 
 
-def read_roster(data: bytes) -> Roster:
+def decode_configuration(data: bytes) -> Configuration:
     return _roster_decoder.decode(data)
--- a/lifthinge/raft/node.py
+++ b/lifthinge/raft/node.py
@@ -10,8 +10,8 @@
 `_conflict`, `_change_blocked`, `_save_vote` and `_confirmed` each hold one rule on which safety rests.
 
 >>> from random import Random
->>> alone = Raft("a", Random(7), 0.0, Saved(roster=Roster((Member("a", "127.0.0.1:1"),))))
->>> alone.tick(alone.due); out = alone.take(); out.writes[-1].term, out.writes[-1].voted, alone.role.name
+>>> alone = Raft("a", Random(7), 0.0, PersistentState(configuration=Configuration((Member("a", "127.0.0.1:1"),))))
+>>> alone.tick(alone.next_tick_at); out = alone.take(); out.writes[-1].term, out.writes[-1].voted_for, alone.role.name
 (1, 'a', 'CANDIDATE')
 >>> alone.durable(out.writes[-1].number); alone.role.name, alone.propose(b"x", 500.0)
 ('LEADER', 2)
@@ -28,26 +28,26 @@
 
 from blake3 import blake3
 
-from lifthinge.raft.log import ENTRY_COST, Log
+from lifthinge.raft.log import ENTRY_OVERHEAD_BYTES, Log
 from lifthinge.raft.messages import (
     AppendEntries,
-    AppendReply,
+    AppendEntriesReply,
+    Configuration,
     Entry,
+    EntryKind,
     InstallSnapshot,
-    Kind,
+    InstallSnapshotReply,
     Member,
     Message,
     ReadIndex,
-    ReadReply,
+    ReadIndexReply,
     RequestVote,
-    Roster,
+    RequestVoteReply,
     Snapshot,
-    SnapshotReply,
     TimeoutNow,
-    Vote,
     encode,
 )
-from lifthinge.raft.progress import Mode, Progress
+from lifthinge.raft.progress import Progress, ReplicationMode
 
 NEVER = float("inf")
 RECHECK_PART = 0.5  # of the election time-out: when what is under way counts as lost
@@ -62,7 +62,7 @@
     LEADER = auto()
 
 
-class Why(Enum):
+class RefusalReason(Enum):
     """Why something was refused."""
 
     NOT_LEADER = "not_leader"
@@ -76,36 +76,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class Refusal:
     """Refused at once: why, and who leads as far as is known."""
 
-    why: Why
+    why: RefusalReason
     leader: str | None = None
 
 
 @dataclass(frozen=True)
-class Pace:
+class RaftOptions:
     """The protocol's times (ms) and bounds."""
 
-    election: float = 1_000.0  # the shortest time without a leader; the longest is twice that
+    election_timeout_ms: float = (
+        1_000.0  # the shortest time without a leader; the longest is twice that
+    )
     heartbeat_interval_ms: float = 100.0  # between a leader's rounds
-    append_bytes: int = 256 << 10  # of one append
-    chunk_bytes: int = 256 << 10  # of a snapshot
-    pending_entries: int = 4_096  # proposed and not committed
-    pending_bytes: int = 8 << 20
-    entry_most: int = 1 << 20
-    reads_most: int = 4_096  # that wait for a round
+    max_append_bytes: int = 256 << 10  # of one append
+    max_chunk_bytes: int = 256 << 10  # of a snapshot
+    max_pending_entries: int = 4_096  # proposed and not committed
+    max_pending_bytes: int = 8 << 20
+    max_entry_bytes: int = 1 << 20
+    max_pending_reads: int = 4_096  # that wait for a round
 
 
 @dataclass(frozen=True)
-class Saved:
+class PersistentState:
     """What a member finds on its disk at the start; a new cluster's first members begin with a roster."""
 
     term: int = 0
-    voted: str | None = None
+    voted_for: str | None = None
     snapshot: Snapshot = Snapshot()
     entries: tuple[Entry, ...] = ()
-    roster: Roster = Roster()
+    configuration: Configuration = Configuration()
 
 
 @dataclass(slots=True)
@@ -114,16 +116,16 @@
 
     number: int
     term: int
-    voted: str | None
-    voting: bool = False  # term or vote changed
+    voted_for: str | None
+    has_vote: bool = False  # term or vote changed
     snapshot: Snapshot | None = None
     truncate_from: int | None = None  # entries from here on are void
     entries: list[Entry] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Out:
-    sends: list[tuple[str, Message]] = field(default_factory=list)
+class Output:
+    messages: list[tuple[str, Message]] = field(default_factory=list)
     writes: list[Write] = field(default_factory=list)
     to_apply: list[Entry | Snapshot] = field(default_factory=list)
     reads: list[tuple[object, int]] = field(
@@ -135,10 +137,10 @@
 class _Read:
     token: object
     index: int
-    beat: int
+    heartbeat_round: int
 
 
-def mark_of(data: bytes) -> bytes:
+def snapshot_digest(data: bytes) -> bytes:
     """The digest by which a snapshot is told from others."""
     return blake3(data).digest(length=16)
 
@@ -147,30 +149,35 @@
     """One member."""
 
     def __init__(
-        self, name: str, dice: Random, now: float, saved: Saved, pace: Pace = Pace()
+        self,
+        name: str,
+        rng: Random,
+        now: float,
+        saved: PersistentState,
+        options: RaftOptions = RaftOptions(),
     ) -> None:
-        self.name, self.dice, self.pace, self.now = name, dice, pace, now
-        self.term, self.voted = saved.term, saved.voted
-        first = saved.snapshot if saved.snapshot.index else Snapshot(0, 0, saved.roster)
+        self.name, self.rng, self.options, self.now = name, rng, options, now
+        self.term, self.voted_for = saved.term, saved.voted_for
+        first = saved.snapshot if saved.snapshot.index else Snapshot(0, 0, saved.configuration)
         self.log = Log(first, saved.entries)
         self.role, self.leader = Role.FOLLOWER, None
         self.leader_at = float("-inf")  # when the leader was last heard
-        self.commit = self.applied = self.log.snapshot.index
+        self.commit_index = self.last_applied = self.log.snapshot.index
         self.durable_index, self.saved_term = self.log.last_index, saved.term
         self.claim = 0  # up to where the log is the leader's, durable or not
-        self.election_at = now + self._patience()
+        self.election_due_at = now + self._patience()
         self.votes: dict[str, bool] = {}
         self.progress: dict[str, Progress] = {}
-        self.beat, self.beat_at = 0, NEVER
+        self.heartbeat_round, self.next_heartbeat_at = 0, NEVER
         self.term_start = 0  # a leader's first entry
         self.pending = [0, 0]  # entries and bytes proposed and not committed
         self.reads: deque[_Read] = deque()
-        self.beat_wanted = False  # reads wait for a round that has not begun
+        self.is_heartbeat_wanted = False  # reads wait for a round that has not begun
         self.asked: dict[int, object] = {}  # reads that went to the leader, by number
         self.transfer: tuple[str, float] | None = None
         self.partial: tuple[InstallSnapshot, bytearray] | None = None
         self.elections = self.stepped_down = 0
-        self._out, self._write = Out(), None
+        self._out, self._write = Output(), None
         self._number = self._durable = 0
         self._under_way: deque[tuple[int, int, int, int]] = (
             deque()
@@ -182,21 +189,21 @@
     # What a driver does.
 
     @property
-    def due(self) -> float:
+    def next_tick_at(self) -> float:
         """When `tick` is wanted at the latest."""
         if self.role is Role.LEADER:
-            return self.beat_at
-        return self.election_at if self._votes() else NEVER
+            return self.next_heartbeat_at
+        return self.election_due_at if self._votes() else NEVER
 
     def tick(self, now: float) -> None:
         """Time has passed."""
         self.now = max(self.now, now)
         if self.role is Role.LEADER:
             self._check_quorum()
-            if self.role is Role.LEADER and self.now >= self.beat_at:
+            if self.role is Role.LEADER and self.now >= self.next_heartbeat_at:
                 self._begin_beat()
-        elif self.now >= self.election_at and self._votes():
-            self._campaign(pre=True)
+        elif self.now >= self.election_due_at and self._votes():
+            self._campaign(is_pre_vote=True)
 
     def step(self, sender: str, message: Message, now: float) -> None:
         """A message has come from another member."""
@@ -205,119 +212,128 @@
         if kind is RequestVote:
             self._asked_for_vote(sender, message)
             return
-        if message.term > self.term and not (kind is Vote and message.pre and message.granted):
+        if message.term > self.term and not (
+            kind is RequestVoteReply and message.is_pre_vote and message.granted
+        ):
             self._follow(message.term, None)
         {
-            Vote: self._voted_for,
+            RequestVoteReply: self._voted_for,
             AppendEntries: self._append,
-            AppendReply: self._append_answered,
+            AppendEntriesReply: self._append_answered,
             InstallSnapshot: self._install,
-            SnapshotReply: self._chunk_answered,
+            InstallSnapshotReply: self._chunk_answered,
             TimeoutNow: self._take_over,
             ReadIndex: self._read_asked,
-            ReadReply: self._read_answered,
+            ReadIndexReply: self._read_answered,
         }[kind](sender, message)
 
-    def propose(self, data: bytes, now: float) -> int | Refused:
+    def propose(self, data: bytes, now: float) -> int | Refusal:
         """An entry for the state machine; its index, which counts only once it is applied in this term."""
         self.now = max(self.now, now)
         if self.role is not Role.LEADER:
-            return Refused(Why.NOT_LEADER, self.leader)
+            return Refusal(RefusalReason.NOT_LEADER, self.leader)
         if self.transfer:
-            return Refused(Why.CHANGING, self.name)
-        if len(data) > self.pace.entry_most:
-            return Refused(Why.TOO_LARGE, self.name)
+            return Refusal(RefusalReason.CHANGING, self.name)
+        if len(data) > self.options.max_entry_bytes:
+            return Refusal(RefusalReason.TOO_LARGE, self.name)
         if (
-            self.pending[0] >= self.pace.pending_entries
-            or self.pending[1] >= self.pace.pending_bytes
+            self.pending[0] >= self.options.max_pending_entries
+            or self.pending[1] >= self.options.max_pending_bytes
         ):
-            return Refused(Why.BUSY, self.name)
-        return self._add(Kind.COMMAND, data)
+            return Refusal(RefusalReason.BUSY, self.name)
+        return self._add(EntryKind.COMMAND, data)
 
-    def read(self, token: object, now: float) -> Refused | None:
-        """Asks up to where all must be applied so that what is read is true now; `Out.reads` answers."""
+    def read(self, token: object, now: float) -> Refusal | None:
+        """Asks up to where all must be applied so that what is read is true now; `Output.reads` answers."""
         self.now = max(self.now, now)
-        if len(self.reads) + len(self.asked) >= self.pace.reads_most:
-            return Refused(Why.BUSY, self.leader)
+        if len(self.reads) + len(self.asked) >= self.options.max_pending_reads:
+            return Refusal(RefusalReason.BUSY, self.leader)
         if self.role is Role.LEADER:
             # Not before the own first entry: what former leaders committed lies below it.
-            self.reads.append(_Read(token, max(self.commit, self.term_start), self.beat + 1))
-            self.beat_wanted = True
+            self.reads.append(
+                _Read(token, max(self.commit_index, self.term_start), self.heartbeat_round + 1)
+            )
+            self.is_heartbeat_wanted = True
             return None
         if self.leader is None:
-            return Refused(Why.NOT_LEADER)
-        number = self.dice.getrandbits(48)
+            return Refusal(RefusalReason.NOT_LEADER)
+        number = self.rng.getrandbits(48)
         self.asked[number] = token
         self._send(self.leader, ReadIndex(self.term, number))
         return None
 
-    def change_membership(self, name: str, address: str | None, now: float) -> int | Refused:
+    def change_membership(self, name: str, address: str | None, now: float) -> int | Refusal:
         """Adds a member, as a learner that gets its vote by itself once it has caught up; None removes one."""
         self.now = max(self.now, now)
-        blocked, roster = self._change_blocked(), self.log.roster
+        blocked, configuration = self._change_blocked(), self.log.configuration
         if blocked:
             return blocked
-        known = roster.get(name)
+        known = configuration.get(name)
         if address is None and known is None:
-            return Refused(Why.UNKNOWN_MEMBER, self.name)
+            return Refusal(RefusalReason.UNKNOWN_MEMBER, self.name)
         if address is not None and known is not None:
-            return Refused(Why.KNOWN_MEMBER, self.name)
-        if address is None and roster.voters == (name,):
-            return Refused(Why.LAST_VOTER, self.name)
+            return Refusal(RefusalReason.KNOWN_MEMBER, self.name)
+        if address is None and configuration.voters == (name,):
+            return Refusal(RefusalReason.LAST_VOTER, self.name)
         new = (
-            roster.without(name)
+            configuration.without_member(name)
             if address is None
-            else roster.with_member(Member(name, address, votes=False))
+            else configuration.with_member(Member(name, address, votes=False))
         )
-        return self._add(Kind.ROSTER, encode(new))
+        return self._add(EntryKind.CONFIGURATION, encode(new))
 
-    def transfer_leadership(self, target: str, now: float) -> Refused | None:
+    def transfer_leadership(self, target: str, now: float) -> Refusal | None:
         """Lets another voter lead once it holds all; nothing is proposed meanwhile, one election's time at most."""
         self.now = max(self.now, now)
         if self.role is not Role.LEADER:
-            return Refused(Why.NOT_LEADER, self.leader)
+            return Refusal(RefusalReason.NOT_LEADER, self.leader)
         if self.transfer:
-            return Refused(Why.CHANGING, self.name)
-        if target not in self.log.roster.voters or target == self.name:
-            return Refused(Why.UNKNOWN_MEMBER, self.name)
-        self.transfer = target, self.now + self.pace.election
+            return Refusal(RefusalReason.CHANGING, self.name)
+        if target not in self.log.configuration.voters or target == self.name:
+            return Refusal(RefusalReason.UNKNOWN_MEMBER, self.name)
+        self.transfer = target, self.now + self.options.election_timeout_ms
         self._press_transfer()
         return None
 
     def compact(self, index: int, data: bytes) -> Snapshot | None:
         """The state machine's state after the entry `index` stands for the log up to there."""
-        if not self.log.snapshot.index < index <= self.applied:
+        if not self.log.snapshot.index < index <= self.last_applied:
             return None
         snapshot = Snapshot(
-            index, self.log.term_at(index), self.log.roster_at(index), data, mark_of(data)
+            index,
+            self.log.term_at(index),
+            self.log.configuration_at(index),
+            data,
+            snapshot_digest(data),
         )
         self.log.compact(snapshot, KEEP_ENTRIES, KEEP_BYTES)
-        self._writing().snapshot = snapshot
+        self._open_write().snapshot = snapshot
         return snapshot
 
-    def give_up(self, token: object) -> None:
+    def cancel_read(self, token: object) -> None:
         """A read is no longer waited for."""
         self.asked = {number: one for number, one in self.asked.items() if one != token}
         self.reads = deque(read for read in self.reads if read.token != token)
 
     @property
-    def sending_snapshot(self) -> bool:
+    def is_sending_snapshot(self) -> bool:
         """Whether a snapshot is on its way to a member: another would make it begin anew."""
         return any(
-            one.mode is Mode.SNAPSHOT and self.now - one.heard_at < self.pace.election
+            one.mode is ReplicationMode.SNAPSHOT
+            and self.now - one.heard_at < self.options.election_timeout_ms
             for one in self.progress.values()
         )
 
     def has_recent_quorum(self, now: float, within: float) -> bool:
         """Whether a majority was heard of lately: as leader from its answers, else from the leader."""
         if self.role is Role.LEADER:
-            return self.log.roster.has_quorum(self._heard(now - within))
+            return self.log.configuration.has_quorum(self._heard(now - within))
         return self.leader is not None and now - self.leader_at <= within
 
-    def take(self) -> Out:
+    def take(self) -> Output:
         """What is to be done now."""
         if self.role is Role.LEADER:
-            if self.beat_wanted:
+            if self.is_heartbeat_wanted:
                 self._begin_beat()
             for name in self.progress:
                 self._replicate(name)
@@ -331,7 +347,7 @@
                 else (self.log.snapshot.index, self.log.snapshot.term)
             )
             self._under_way.append((write.number, index, term, write.term))
-        out, self._out = self._out, Out()
+        out, self._out = self._out, Output()
         return out
 
     def durable(self, number: int) -> None:
@@ -343,181 +359,213 @@
         self._durable = max(self._durable, number)
         while self._held and self._held[0][0] <= number:
             _, to, message = self._held.popleft()
-            if message.term == self.term or type(message) is Vote:
-                self._out.sends.append((to, message))
-        if self.role is Role.CANDIDATE and self.saved_term == self.term and self.voted == self.name:
-            self._count_vote(self.name, True, pre=False)
+            if message.term == self.term or type(message) is RequestVoteReply:
+                self._out.messages.append((to, message))
+        if (
+            self.role is Role.CANDIDATE
+            and self.saved_term == self.term
+            and self.voted_for == self.name
+        ):
+            self._count_vote(self.name, True, is_pre_vote=False)
         elif self.role is Role.LEADER:
             self._advance()
         elif self.leader and self.claim and self.saved_term == self.term:
             self._send(
                 self.leader,
-                AppendReply(self.term, 0, True, min(self.claim, self.durable_index), self.claim),
+                AppendEntriesReply(
+                    self.term, 0, True, min(self.claim, self.durable_index), self.claim
+                ),
             )
 
     # Rules on which safety rests.
 
-    def _may_commit(self, index: int) -> bool:
+    def _can_commit(self, index: int) -> bool:
         """Only entries of the own term are committed by counting (5.4.2, figure 8)."""
         return self.log.term_at(index) == self.term
 
-    def _is_current(self, last_term: int, last_index: int) -> bool:
+    def _is_log_up_to_date(self, last_term: int, last_index: int) -> bool:
         """Whether another's log is at least as up to date as ours (5.4.1)."""
         return (last_term, last_index) >= (self.log.last_term, self.log.last_index)
 
-    def _conflict(self, entries: tuple[Entry, ...]) -> int:
+    def _first_conflict(self, entries: tuple[Entry, ...]) -> int:
         """How many of these we hold already: only what differs is cut, as a late append may be short (5.3)."""
         return next(
             (place for place, one in enumerate(entries) if self.log.term_at(one.index) != one.term),
             len(entries),
         )
 
-    def _change_blocked(self) -> Refused | None:
+    def _change_blocked(self) -> Refusal | None:
         """One server at a time, and not before an own entry is committed (dissertation 4.1; its 2015 erratum)."""
         if self.role is not Role.LEADER:
-            return Refused(Why.NOT_LEADER, self.leader)
-        if self.commit < self.term_start:
-            return Refused(Why.NOT_READY, self.name)
-        if self.log.roster_index > self.commit or self.transfer:
-            return Refused(Why.CHANGING, self.name)
+            return Refusal(RefusalReason.NOT_LEADER, self.leader)
+        if self.commit_index < self.term_start:
+            return Refusal(RefusalReason.NOT_READY, self.name)
+        if self.log.configuration_index > self.commit_index or self.transfer:
+            return Refusal(RefusalReason.CHANGING, self.name)
         return None
 
     def _save_vote(self) -> None:
         """Term and vote are durable before anyone hears of them (figure 2: updated on stable storage)."""
-        self._writing().voting = True
+        self._open_write().has_vote = True
 
-    def _confirmed(self, beat: int) -> bool:
+    def _is_round_confirmed(self, heartbeat_round: int) -> bool:
         """Whether a majority has answered this round or a later one: so nobody led in between (6.4)."""
-        names = {name for name, one in self.progress.items() if one.beat >= beat}
-        return self.log.roster.has_quorum(names | {self.name})
+        names = {
+            name for name, one in self.progress.items() if one.heartbeat_round >= heartbeat_round
+        }
+        return self.log.configuration.has_quorum(names | {self.name})
 
     # Elections.
 
     def _patience(self) -> float:
-        return self.pace.election * (1 + self.dice.random())
+        return self.options.election_timeout_ms * (1 + self.rng.random())
 
     def _votes(self) -> bool:
         """Whether it may campaign: who is to be removed still may, until that is committed (4.2.2).
 
         Else, if nobody but it holds the entry that removes it, nobody could ever lead.
         """
-        rosters = self.log.rosters if self.log.roster_index > self.commit else self.log.rosters[-1:]
-        return any(self.name in roster.voters for _, roster in rosters[-2:])
+        configurations = (
+            self.log.configurations
+            if self.log.configuration_index > self.commit_index
+            else self.log.configurations[-1:]
+        )
+        return any(self.name in configuration.voters for _, configuration in configurations[-2:])
 
     def _follow(self, term: int, leader: str | None) -> None:
         """Goes on as a follower, perhaps in a new term."""
         if self.role is Role.LEADER:
             self.stepped_down += 1
             self._drop_reads()
-            self.progress, self.transfer, self.beat_at = {}, None, NEVER
+            self.progress, self.transfer, self.next_heartbeat_at = {}, None, NEVER
         if term > self.term:
-            self.term, self.voted, self.claim = term, None, 0
+            self.term, self.voted_for, self.claim = term, None, 0
             self._save_vote()
         if leader != self.leader or term > self.term:
             self._drop_asked()
         self.role, self.leader, self.votes = Role.FOLLOWER, leader, {}
-        self.election_at = self.now + self._patience()
+        self.election_due_at = self.now + self._patience()
 
-    def _campaign(self, pre: bool, forced: bool = False) -> None:
+    def _campaign(self, is_pre_vote: bool, is_leadership_transfer: bool = False) -> None:
         """Asks for votes; a pre-vote changes nothing, so who can't win disturbs nobody."""
         self._drop_asked()
         self.leader, self.votes = None, {}
-        self.role = Role.PRE_CANDIDATE if pre else Role.CANDIDATE
-        self.election_at = self.now + self._patience()
-        if not pre:
+        self.role = Role.PRE_CANDIDATE if is_pre_vote else Role.CANDIDATE
+        self.election_due_at = self.now + self._patience()
+        if not is_pre_vote:
             self.elections += 1
-            self.term, self.voted, self.claim = self.term + 1, self.name, 0
+            self.term, self.voted_for, self.claim = self.term + 1, self.name, 0
             self._save_vote()
-        ask = RequestVote(self.term + pre, self.log.last_index, self.log.last_term, pre, forced)
-        for name in self.log.roster.voters:
+        ask = RequestVote(
+            self.term + is_pre_vote,
+            self.log.last_index,
+            self.log.last_term,
+            is_pre_vote,
+            is_leadership_transfer,
+        )
+        for name in self.log.configuration.voters:
             if name != self.name:
                 self._send(name, ask)
-        if pre:
-            self._count_vote(self.name, True, pre=True)  # a real one counts once it is durable
+        if is_pre_vote:
+            self._count_vote(
+                self.name, True, is_pre_vote=True
+            )  # a real one counts once it is durable
 
     def _asked_for_vote(self, sender: str, ask: RequestVote) -> None:
         led = (
             self.role is Role.LEADER
             or self.leader is not None
-            and self.now - self.leader_at < self.pace.election
+            and self.now - self.leader_at < self.options.election_timeout_ms
         )
-        if led and not ask.forced:  # who hears a leader lets nobody disturb it (dissertation 4.2.3)
-            if ask.pre or ask.term <= self.term:
-                self._send(sender, Vote(self.term, ask.pre, False))
+        if (
+            led and not ask.is_leadership_transfer
+        ):  # who hears a leader lets nobody disturb it (dissertation 4.2.3)
+            if ask.is_pre_vote or ask.term <= self.term:
+                self._send(sender, RequestVoteReply(self.term, ask.is_pre_vote, False))
             return
-        if ask.term > self.term and not ask.pre:
+        if ask.term > self.term and not ask.is_pre_vote:
             self._follow(ask.term, None)
-        free = ask.pre or self.voted in (None, sender)
+        free = ask.is_pre_vote or self.voted_for in (None, sender)
         granted = (
-            ask.term >= self.term + ask.pre
+            ask.term >= self.term + ask.is_pre_vote
             and free
-            and self._is_current(ask.last_term, ask.last_index)
+            and self._is_log_up_to_date(ask.last_term, ask.last_index)
         )
-        if granted and not ask.pre:
-            if self.voted is None:
-                self.voted = sender
+        if granted and not ask.is_pre_vote:
+            if self.voted_for is None:
+                self.voted_for = sender
                 self._save_vote()
-            self.election_at = self.now + self._patience()
-        self._send(sender, Vote(ask.term if granted else self.term, ask.pre, granted))
+            self.election_due_at = self.now + self._patience()
+        self._send(
+            sender, RequestVoteReply(ask.term if granted else self.term, ask.is_pre_vote, granted)
+        )
 
-    def _voted_for(self, sender: str, vote: Vote) -> None:
-        asking = self.role is (Role.PRE_CANDIDATE if vote.pre else Role.CANDIDATE)
-        if asking and (not vote.granted or vote.term == self.term + vote.pre):
-            self._count_vote(sender, vote.granted, vote.pre)
+    def _voted_for(self, sender: str, vote: RequestVoteReply) -> None:
+        asking = self.role is (Role.PRE_CANDIDATE if vote.is_pre_vote else Role.CANDIDATE)
+        if asking and (not vote.granted or vote.term == self.term + vote.is_pre_vote):
+            self._count_vote(sender, vote.granted, vote.is_pre_vote)
 
-    def _count_vote(self, name: str, granted: bool, pre: bool) -> None:
+    def _count_vote(self, name: str, granted: bool, is_pre_vote: bool) -> None:
         self.votes[name] = granted
-        roster = self.log.roster
-        if roster.has_quorum({one for one, yes in self.votes.items() if yes}):
-            self._campaign(pre=False) if pre else self._lead()
-        elif roster.has_quorum({one for one, yes in self.votes.items() if not yes}):
+        configuration = self.log.configuration
+        if configuration.has_quorum({one for one, yes in self.votes.items() if yes}):
+            self._campaign(is_pre_vote=False) if is_pre_vote else self._lead()
+        elif configuration.has_quorum({one for one, yes in self.votes.items() if not yes}):
             self._follow(self.term, None)
 
     def _lead(self) -> None:
         self.role, self.leader, self.votes = Role.LEADER, self.name, {}
         self.progress = {
             one.name: Progress(self.log.last_index + 1, self.now)
-            for one in self.log.roster.members
+            for one in self.log.configuration.members
             if one.name != self.name
         }
-        self.pending = [self.log.last_index - self.commit, self.log.bytes_from(self.commit + 1)]
-        self.term_start = self._add(Kind.EMPTY, b"")
+        self.pending = [
+            self.log.last_index - self.commit_index,
+            self.log.bytes_from(self.commit_index + 1),
+        ]
+        self.term_start = self._add(EntryKind.NO_OP, b"")
         self._begin_beat()
 
     def _take_over(self, sender: str, message: TimeoutNow) -> None:
         if message.term == self.term and self.role is Role.FOLLOWER and self._votes():
-            self._campaign(pre=False, forced=True)
+            self._campaign(is_pre_vote=False, is_leadership_transfer=True)
 
     def _heard(self, since: float) -> set[str]:
         return {name for name, one in self.progress.items() if one.heard_at >= since} | {self.name}
 
     def _check_quorum(self) -> None:
         """A leader that has heard no majority for an election's time leads nobody: it says so by stepping down."""
-        if not self.log.roster.has_quorum(self._heard(self.now - self.pace.election)):
+        if not self.log.configuration.has_quorum(
+            self._heard(self.now - self.options.election_timeout_ms)
+        ):
             self._follow(self.term, None)
         elif self.transfer and self.now >= self.transfer[1]:
             self.transfer = None
 
     # Replication, as leader.
 
-    def _add(self, kind: Kind, data: bytes) -> int:
+    def _add(self, kind: EntryKind, data: bytes) -> int:
         entry = Entry(self.log.last_index + 1, self.term, kind, data)
         self._store([entry])
         self.pending[0] += 1
-        self.pending[1] += len(data) + ENTRY_COST
-        if kind is Kind.ROSTER:
-            for one in self.log.roster.members:
+        self.pending[1] += len(data) + ENTRY_OVERHEAD_BYTES
+        if kind is EntryKind.CONFIGURATION:
+            for one in self.log.configuration.members:
                 if one.name != self.name and one.name not in self.progress:
                     self.progress[one.name] = Progress(entry.index, self.now)
         return entry.index
 
     def _begin_beat(self) -> None:
         """A round: who answers it has heard of us now."""
-        self.beat += 1
-        self.beat_at, self.beat_wanted = self.now + self.pace.heartbeat_interval_ms, False
+        self.heartbeat_round += 1
+        self.next_heartbeat_at, self.is_heartbeat_wanted = (
+            self.now + self.options.heartbeat_interval_ms,
+            False,
+        )
         for name, one in self.progress.items():
-            if self.now - one.heard_at > self.pace.election * RECHECK_PART:
-                one.lost()
+            if self.now - one.heard_at > self.options.election_timeout_ms * RECHECK_PART:
+                one.assume_lost()
             if not self._replicate(name):
                 self._say_append(name, one, [])
         self._press_reads()
@@ -525,59 +573,69 @@
     def _replicate(self, name: str) -> bool:
         """Sends what a member may be sent; whether anything went. Who is silent gets no more than beats."""
         one, went = self.progress[name], False
-        if self.now - one.heard_at > self.pace.election * RECHECK_PART:
+        if self.now - one.heard_at > self.options.election_timeout_ms * RECHECK_PART:
             return False
-        while one.may_send(
-            self.now, max(self.pace.heartbeat_interval_ms, self.pace.election * RECHECK_PART)
+        while one.can_send(
+            self.now,
+            max(
+                self.options.heartbeat_interval_ms, self.options.election_timeout_ms * RECHECK_PART
+            ),
         ):
-            if one.next <= self.log.base[0]:
+            if one.next_index <= self.log.base[0]:
                 self._say_chunk(name, one)
                 return True
             if (
-                one.mode is Mode.SNAPSHOT
-                or one.next > self.log.last_index
-                and one.mode is Mode.STREAM
+                one.mode is ReplicationMode.SNAPSHOT
+                or one.next_index > self.log.last_index
+                and one.mode is ReplicationMode.STREAM
             ):
-                if one.mode is Mode.SNAPSHOT:
+                if one.mode is ReplicationMode.SNAPSHOT:
                     self._say_chunk(name, one)
                     went = True
                 break
-            entries = self.log.between(one.next, self.log.last_index, self.pace.append_bytes)
+            entries = self.log.entries_between(
+                one.next_index, self.log.last_index, self.options.max_append_bytes
+            )
             self._say_append(name, one, entries)
-            one.sent(
-                entries[-1].index if entries else one.next - 1,
-                sum(len(entry.data) + ENTRY_COST for entry in entries),
+            one.record_sent(
+                entries[-1].index if entries else one.next_index - 1,
+                sum(len(entry.data) + ENTRY_OVERHEAD_BYTES for entry in entries),
                 self.now,
             )
             went = True
         return went
 
     def _say_append(self, name: str, one: Progress, entries: list[Entry]) -> None:
-        prev = max(one.next - 1, self.log.base[0])
-        self._out.sends.append(
+        prev = max(one.next_index - 1, self.log.base[0])
+        self._out.messages.append(
             (
                 name,
                 AppendEntries(
-                    self.term, prev, self.log.term_at(prev), tuple(entries), self.commit, self.beat
+                    self.term,
+                    prev,
+                    self.log.term_at(prev),
+                    tuple(entries),
+                    self.commit_index,
+                    self.heartbeat_round,
                 ),
             )
         )
 
     def _say_chunk(self, name: str, one: Progress) -> None:
         snapshot = self.log.snapshot
-        one.start_snapshot(snapshot.index, snapshot.mark)
-        data = snapshot.data[one.offset : one.offset + self.pace.chunk_bytes]
-        one.sent(0, len(data), self.now)
-        self._out.sends.append(
+        one.start_snapshot(snapshot.index, snapshot.digest)
+        data = snapshot.data[one.offset : one.offset + self.options.max_chunk_bytes]
+        one.record_sent(0, len(data), self.now)
+        self._out.messages.append(
             (
                 name,
                 InstallSnapshot(
                     self.term,
-                    self.beat,
+                    self.heartbeat_round,
                     snapshot.index,
                     snapshot.term,
-                    snapshot.roster,
-                    snapshot.mark,
+                    snapshot.configuration,
+                    snapshot.digest,
                     len(snapshot.data),
                     one.offset,
                     data,
@@ -585,58 +643,66 @@
             )
         )
 
-    def _append_answered(self, sender: str, reply: AppendReply) -> None:
+    def _append_answered(self, sender: str, reply: AppendEntriesReply) -> None:
         one = self.progress.get(sender)
         if self.role is not Role.LEADER or one is None or reply.term != self.term:
             return
-        one.heard_at, one.beat = self.now, max(one.beat, reply.beat)
-        if reply.ok:
-            one.matched(
-                min(reply.held, self.log.last_index),
-                min(reply.match, self.log.last_index),
+        one.heard_at, one.heartbeat_round = (
+            self.now,
+            max(one.heartbeat_round, reply.heartbeat_round),
+        )
+        if reply.success:
+            one.record_match(
+                min(reply.received_index, self.log.last_index),
+                min(reply.match_index, self.log.last_index),
                 self.now,
             )
             self._promote(sender, one)
             self._advance()
             self._press_transfer()
         else:
-            hint = self.log.last_of_term(reply.hint_term) if reply.hint_term else None
-            one.refused(reply.prev_index, (hint or reply.hint_index - 1) + 1, self.now)
+            hint = self.log.last_index_of_term(reply.conflict_term) if reply.conflict_term else None
+            one.record_rejection(
+                reply.prev_log_index, (hint or reply.conflict_index - 1) + 1, self.now
+            )
         self._press_reads()
 
-    def _chunk_answered(self, sender: str, reply: SnapshotReply) -> None:
+    def _chunk_answered(self, sender: str, reply: InstallSnapshotReply) -> None:
         one = self.progress.get(sender)
         if self.role is not Role.LEADER or one is None or reply.term != self.term:
             return
-        one.heard_at, one.beat = self.now, max(one.beat, reply.beat)
+        one.heard_at, one.heartbeat_round = (
+            self.now,
+            max(one.heartbeat_round, reply.heartbeat_round),
+        )
         if reply.done:
-            one.matched(reply.index, reply.index, self.now)
+            one.record_match(reply.index, reply.index, self.now)
             self._advance()
-        elif one.mode is Mode.SNAPSHOT and reply.mark == one.mark:
+        elif one.mode is ReplicationMode.SNAPSHOT and reply.digest == one.digest:
             one.offset, one.sent_at = min(reply.offset, len(self.log.snapshot.data)), float("-inf")
         self._press_reads()
 
     def _advance(self) -> None:
         """Commits what a majority holds for good."""
-        voters = self.log.roster.voters
+        voters = self.log.configuration.voters
         if not voters:
             return
         held = sorted(
             (
-                self.durable_index if name == self.name else self.progress[name].match
+                self.durable_index if name == self.name else self.progress[name].match_index
                 for name in voters
             ),
             reverse=True,
         )
         index = held[len(voters) // 2]
-        if index > self.commit and self._may_commit(index):
+        if index > self.commit_index and self._can_commit(index):
             self._commit_to(index)
-            if self.commit >= self.log.roster_index:
+            if self.commit_index >= self.log.configuration_index:
                 self._settle_roster()
 
     def _settle_roster(self) -> None:
         """A committed roster counts: who is no longer in it hears so once more, and is left alone."""
-        gone = [name for name in self.progress if not self.log.roster.get(name)]
+        gone = [name for name in self.progress if not self.log.configuration.get(name)]
         if gone or not self._votes():
             for name in self.progress:
                 self._say_append(name, self.progress[name], [])
@@ -647,40 +713,43 @@
 
     def _promote(self, name: str, one: Progress) -> None:
         """A learner votes once it has caught up with a round's entries within an election's time (4.2.1)."""
-        member = self.log.roster.get(name)
-        if member is None or member.votes or one.match < one.round_end:
+        member = self.log.configuration.get(name)
+        if member is None or member.votes or one.match_index < one.round_end:
             return
         if (
             one.round_end
-            and self.now - one.round_at <= self.pace.election
+            and self.now - one.round_at <= self.options.election_timeout_ms
             and not self._change_blocked()
         ):
             self._add(
-                Kind.ROSTER, encode(self.log.roster.with_member(Member(name, member.address)))
+                EntryKind.CONFIGURATION,
+                encode(self.log.configuration.with_member(Member(name, member.address))),
             )
         one.round_end, one.round_at = max(self.log.last_index, 1), self.now
 
     def _press_transfer(self) -> None:
-        if self.transfer and self.progress[self.transfer[0]].match == self.log.last_index:
+        if self.transfer and self.progress[self.transfer[0]].match_index == self.log.last_index:
             self._send(self.transfer[0], TimeoutNow(self.term))
 
     # Reads.
 
     def _press_reads(self) -> None:
         while (
-            self.reads and self.reads[0].beat <= self.beat and self._confirmed(self.reads[0].beat)
+            self.reads
+            and self.reads[0].heartbeat_round <= self.heartbeat_round
+            and self._is_round_confirmed(self.reads[0].heartbeat_round)
         ):
             read = self.reads.popleft()
             self._answer_read(read.token, read.index)
 
     def _answer_read(self, token: object, index: int) -> None:
         if type(token) is _Remote:
-            self._send(token.name, ReadReply(self.term, token.number, index))
+            self._send(token.name, ReadIndexReply(self.term, token.number, index))
         else:
             self._out.reads.append((token, index))
 
     def _drop_reads(self) -> None:
-        reads, self.reads, self.beat_wanted = self.reads, deque(), False
+        reads, self.reads, self.is_heartbeat_wanted = self.reads, deque(), False
         for read in reads:
             self._answer_read(read.token, -1)
 
@@ -690,11 +759,11 @@
 
     def _read_asked(self, sender: str, ask: ReadIndex) -> None:
         if self.role is not Role.LEADER or isinstance(
-            self.read(_Remote(sender, ask.token), self.now), Refused
+            self.read(_Remote(sender, ask.token), self.now), Refusal
         ):
-            self._send(sender, ReadReply(self.term, ask.token, -1))
+            self._send(sender, ReadIndexReply(self.term, ask.token, -1))
 
-    def _read_answered(self, sender: str, reply: ReadReply) -> None:
+    def _read_answered(self, sender: str, reply: ReadIndexReply) -> None:
         if reply.token in self.asked:
             self._out.reads.append((self.asked.pop(reply.token), reply.index))
 
@@ -705,62 +774,79 @@
         if self.role is not Role.FOLLOWER or self.leader != sender:
             self._follow(self.term, sender)
         self.leader_at = self.now
-        self.election_at = self.now + self._patience()
+        self.election_due_at = self.now + self._patience()
 
     def _append(self, sender: str, said: AppendEntries) -> None:
         if said.term < self.term:
-            self._send(sender, AppendReply(self.term, said.beat, False, prev_index=said.prev_index))
+            self._send(
+                sender,
+                AppendEntriesReply(
+                    self.term, said.heartbeat_round, False, prev_log_index=said.prev_log_index
+                ),
+            )
             return
         self._hear_leader(sender)
-        prev, prev_term, entries = said.prev_index, said.prev_term, said.entries
+        prev, prev_log_term, entries = said.prev_log_index, said.prev_log_term, said.entries
         base = self.log.base[0]
         if prev < base:  # what is compacted away is committed, and so the same
             entries = entries[base - prev :]
-            prev, prev_term = base, self.log.base[1]
+            prev, prev_log_term = base, self.log.base[1]
         stands = self.log.term_at(prev)
-        if stands != prev_term:
-            first = self.log.last_index + 1 if stands is None else self.log.first_of_term(prev)
+        if stands != prev_log_term:
+            first = (
+                self.log.last_index + 1 if stands is None else self.log.first_index_of_term(prev)
+            )
             self._send(
                 sender,
-                AppendReply(
+                AppendEntriesReply(
                     self.term,
-                    said.beat,
+                    said.heartbeat_round,
                     False,
-                    prev_index=said.prev_index,
-                    hint_index=first,
-                    hint_term=stands or 0,
+                    prev_log_index=said.prev_log_index,
+                    conflict_index=first,
+                    conflict_term=stands or 0,
                 ),
             )
             return
-        new = entries[self._conflict(entries) :]
+        new = entries[self._first_conflict(entries) :]
         if new and new[0].index <= self.log.last_index:
-            assert new[0].index > self.commit, "a committed entry would be cut"
+            assert new[0].index > self.commit_index, "a committed entry would be cut"
             self._cut(new[0].index)
         if new:
             self._store(list(new))
         self.claim = max(self.claim, prev + len(entries))
-        self._commit_to(min(said.commit, self.claim))
+        self._commit_to(min(said.commit_index, self.claim))
         self._send(
             sender,
-            AppendReply(
-                self.term, said.beat, True, min(self.claim, self.durable_index), self.claim
+            AppendEntriesReply(
+                self.term,
+                said.heartbeat_round,
+                True,
+                min(self.claim, self.durable_index),
+                self.claim,
             ),
         )
 
     def _install(self, sender: str, said: InstallSnapshot) -> None:
         if said.term < self.term:
-            self._send(sender, SnapshotReply(self.term, said.beat, said.index, said.mark, 0))
+            self._send(
+                sender,
+                InstallSnapshotReply(self.term, said.heartbeat_round, said.index, said.digest, 0),
+            )
             return
         self._hear_leader(sender)
-        if said.index <= self.commit:  # an older one than what is known: nothing to fetch
+        if said.index <= self.commit_index:  # an older one than what is known: nothing to fetch
             self.partial = None
             self._send_after(
-                sender, SnapshotReply(self.term, said.beat, said.index, said.mark, 0, done=True)
+                sender,
+                InstallSnapshotReply(
+                    self.term, said.heartbeat_round, said.index, said.digest, 0, done=True
+                ),
             )
             return
         if (
             self.partial is None
-            or self.partial[0].mark != said.mark
+            or self.partial[0].digest != said.digest
             or self.partial[0].index != said.index
         ):
             if said.size > SNAPSHOT_MOST:
@@ -771,36 +857,47 @@
             data += said.data
         if len(data) < said.size:
             self._send(
-                sender, SnapshotReply(self.term, said.beat, said.index, said.mark, len(data))
+                sender,
+                InstallSnapshotReply(
+                    self.term, said.heartbeat_round, said.index, said.digest, len(data)
+                ),
             )
             return
         self.partial = None
-        if len(data) != said.size or mark_of(bytes(data)) != said.mark:
-            self._send(sender, SnapshotReply(self.term, said.beat, said.index, said.mark, 0))
+        if len(data) != said.size or snapshot_digest(bytes(data)) != said.digest:
+            self._send(
+                sender,
+                InstallSnapshotReply(self.term, said.heartbeat_round, said.index, said.digest, 0),
+            )
             return
-        snapshot = Snapshot(said.index, said.last_term, said.roster, bytes(data), said.mark)
+        snapshot = Snapshot(
+            said.index, said.last_term, said.configuration, bytes(data), said.digest
+        )
         kept = self.log.term_at(snapshot.index) == snapshot.term
         if self._write is not None and self._write.entries:  # entries of before go before it
             self._flush_write()
         self.log.compact(snapshot)
         if not kept:
             self._void(snapshot.index + 1)
-        self.commit = self.applied = self.claim = snapshot.index
-        write = self._writing()
+        self.commit_index = self.last_applied = self.claim = snapshot.index
+        write = self._open_write()
         write.snapshot, write.truncate_from = snapshot, None if kept else snapshot.index + 1
         self._out.to_apply.append(snapshot)
         self._send_after(
-            sender, SnapshotReply(self.term, said.beat, said.index, said.mark, said.size, done=True)
+            sender,
+            InstallSnapshotReply(
+                self.term, said.heartbeat_round, said.index, said.digest, said.size, done=True
+            ),
         )
 
     # What is kept, said and applied.
 
-    def _writing(self) -> Write:
+    def _open_write(self) -> Write:
         """The write that gathers what is to be durable next."""
         if self._write is None:
             self._number += 1
-            self._write = Write(self._number, self.term, self.voted)
-        self._write.term, self._write.voted = self.term, self.voted
+            self._write = Write(self._number, self.term, self.voted_for)
+        self._write.term, self._write.voted_for = self.term, self.voted_for
         return self._write
 
     def _flush_write(self) -> None:
@@ -811,14 +908,14 @@
 
     def _store(self, entries: list[Entry]) -> None:
         self.log.append(entries)
-        self._writing().entries += entries
+        self._open_write().entries += entries
 
     def _cut(self, first: int) -> None:
         """What follows here differs from the leader's: it goes, from the disk as well."""
-        self.log.cut(first)
+        self.log.truncate(first)
         self.claim = min(self.claim, first - 1)
         self._void(first)
-        write = self._writing()
+        write = self._open_write()
         kept = [one for one in write.entries if one.index < first]
         if len(kept) == len(write.entries) or not kept:
             write.truncate_from = (
@@ -836,21 +933,21 @@
         )
 
     def _commit_to(self, index: int) -> None:
-        if index <= self.commit:
+        if index <= self.commit_index:
             return
-        done = self.log.between(self.commit + 1, index, 1 << 62)
+        done = self.log.entries_between(self.commit_index + 1, index, 1 << 62)
         if self.role is Role.LEADER:
             self.pending[0] -= len(done)
-            self.pending[1] -= sum(len(one.data) + ENTRY_COST for one in done)
-        self.commit = self.applied = index
+            self.pending[1] -= sum(len(one.data) + ENTRY_OVERHEAD_BYTES for one in done)
+        self.commit_index = self.last_applied = index
         self._out.to_apply += done
 
     def _send(self, to: str, message: Message) -> None:
         """Says something, yet not before the term that it bears is durable."""
         if self.saved_term == self.term and not (
-            type(message) is Vote and message.granted and not message.pre
+            type(message) is RequestVoteReply and message.granted and not message.is_pre_vote
         ):
-            self._out.sends.append((to, message))
+            self._out.messages.append((to, message))
         else:
             self._send_after(to, message)
 
@@ -859,7 +956,7 @@
         if self._number > self._durable:
             self._held.append((self._number, to, message))
         else:
-            self._out.sends.append((to, message))
+            self._out.messages.append((to, message))
 
 
 @dataclass(frozen=True, slots=True)
--- a/lifthinge/service/member.py
+++ b/lifthinge/service/member.py
@@ -11,8 +11,8 @@
 from lifthinge.cluster.keys import KeyFile, Keys, NoKeys, read_keys
 from lifthinge.cluster.member import MemberServer, Seat
 from lifthinge.operators import MemberPart, split_address
-from lifthinge.raft.messages import Member, Roster
-from lifthinge.raft.node import Pace
+from lifthinge.raft.messages import Configuration, Member
+from lifthinge.raft.node import RaftOptions
 from lifthinge.service import logs
 from lifthinge.service.run import EXIT_STARTUP_ERROR, collect_counters, make_runtime
 from lifthinge.store.files import Files
@@ -47,11 +47,11 @@
     if isinstance(disk, Damage):
         raise MemberStartupError(f"{path}: member.folder: {part.folder}/{disk}")
     if disk.identity is None:
-        if disk.image.term or disk.image.entries:
+        if disk.stored_state.term or disk.stored_state.entries:
             raise MemberStartupError(
                 f"{path}: member.folder: {part.folder}: does not say whose it is"
             )
-        first = Roster(
+        first = Configuration(
             tuple(Member(name, address) for name, address in sorted(part.start_with.items()))
         )
         disk.begin(Cluster(part.cluster, part.name, first))
@@ -86,7 +86,7 @@
         part.cluster,
         part.name,
         split_address(part.listen),
-        Pace(election=part.election_ms, heartbeat_interval_ms=part.beat_ms),
+        RaftOptions(election_timeout_ms=part.election_ms, heartbeat_interval_ms=part.beat_ms),
         keys,
         part.snapshot_entries,
     )
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -37,7 +37,7 @@
     "closest_name",
     "operators",
     "outer_names",
-    "raft.image",
+    "raft.stored_state",
     "raft.log",
     "raft.messages",
     "raft.node",
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -18,14 +18,14 @@
 from lifthinge.cluster.member import MemberServer, Seat
 from lifthinge.cluster.sealing import FORM, HEAD, Hello, Sealer, read_hello, sign, talk_of
 from lifthinge.raft import messages as raft_messages
-from lifthinge.raft.messages import Member, Roster
-from lifthinge.raft.node import Pace
+from lifthinge.raft.messages import Configuration, Member
+from lifthinge.raft.node import RaftOptions
 from lifthinge.service.run import make_runtime
 from lifthinge.store.files import Files
 
 KEY, OTHER, CLIENT = b"k" * 32, b"o" * 32, b"c" * 32
 PATIENCE = 20.0  # s
-PACE = Pace(election=100.0, heartbeat_interval_ms=20.0)
+PACE = RaftOptions(election_timeout_ms=100.0, heartbeat_interval_ms=20.0)
 
 
 class Heard:
@@ -176,7 +176,7 @@
         self.by_role = {"member": member_keys, "client": self.keys.keys}
         self.where: dict[str, tuple[str, int]] = {}
 
-    async def start(self, name: str, first: Roster) -> None:
+    async def start(self, name: str, first: Configuration) -> None:
         disk = open_disk(Files(self.folder / f"disk-{name}"))
         if disk.identity is None:
             disk.begin(Cluster("depots", name, first))
@@ -194,7 +194,9 @@
             self.where[name] = held[-1].getsockname()
         for one in held:
             one.close()
-        first = Roster(tuple(Member(name, "%s:%d" % self.where[name]) for name in self.names))
+        first = Configuration(
+            tuple(Member(name, "%s:%d" % self.where[name]) for name in self.names)
+        )
         for name in self.names:
             await self.start(name, first)
 
@@ -235,7 +237,7 @@
         await trio.servers.pop(leader).stop()
         second = await client.propose({}, 1, "op", 2.0, trio.runtime.now + 15_000.0)
         assert isinstance(second, Accepted) and second.version == 2, second
-        await trio.start(leader, Roster())
+        await trio.start(leader, Configuration())
         while not trio.servers[leader].ready:
             await trio.runtime.pause(10.0)
         assert trio.servers[leader].state.version == 2
@@ -316,7 +318,9 @@
         opened = await client.ask(talk.Begin(b"n"), trio.runtime.now + 10_000.0)
         assert isinstance(opened, Opened), opened
         server = trio.servers["a"]
-        server.raft.pace = Pace(election=100.0, heartbeat_interval_ms=20.0, pending_entries=0)
+        server.raft.options = RaftOptions(
+            election_timeout_ms=100.0, heartbeat_interval_ms=20.0, max_pending_entries=0
+        )
         link = await client._reach()
         body = msgspec.msgpack.encode({})
         began = trio.runtime.now
@@ -335,18 +339,18 @@
     version = (1, 1, 1, 0.0, "op", b"", b"")
     report = ("a", "leader", 1, "a", 0, 0, 0, 0, b"", True, True, (), {})
     messages_by_tag = {
-        "Roster": raft_messages.Roster(),
+        "Roster": raft_messages.Configuration(),
         "RequestVote": raft_messages.RequestVote(1, 0, 0),
-        "Vote": raft_messages.Vote(1, False, True),
+        "Vote": raft_messages.RequestVoteReply(1, False, True),
         "AppendEntries": raft_messages.AppendEntries(1, 0, 0),
-        "AppendReply": raft_messages.AppendReply(1, 0, True),
+        "AppendReply": raft_messages.AppendEntriesReply(1, 0, True),
         "InstallSnapshot": raft_messages.InstallSnapshot(
-            1, 0, 1, 1, raft_messages.Roster(), b"", 0, 0, b""
+            1, 0, 1, 1, raft_messages.Configuration(), b"", 0, 0, b""
         ),
-        "SnapshotReply": raft_messages.SnapshotReply(1, 0, 1, b"", 0),
+        "SnapshotReply": raft_messages.InstallSnapshotReply(1, 0, 1, b"", 0),
         "TimeoutNow": raft_messages.TimeoutNow(1),
         "ReadIndex": raft_messages.ReadIndex(1, 2),
-        "ReadReply": raft_messages.ReadReply(1, 2, 3),
+        "ReadReply": raft_messages.ReadIndexReply(1, 2, 3),
         "OpenSession": commands.OpenSession(b"n"),
         "Propose": commands.Propose(1, 1, 0, 0.0, "op", b""),
         "Opened": commands.Opened(1),
--- a/tests/play/cluster.py
+++ b/tests/play/cluster.py
@@ -19,7 +19,7 @@
 
 from lifthinge.lab.raftworld import RaftWorld
 from lifthinge.raft.messages import InstallSnapshot
-from lifthinge.raft.node import Refused, Role
+from lifthinge.raft.node import Refusal, Role
 
 
 class ClusterStage:
@@ -59,8 +59,8 @@
         for _ in range(200):
             if self.raft(name).role is Role.LEADER:
                 return
-            if self.raft(name).due <= world.now:
-                self.raft(name).election_at = world.now
+            if self.raft(name).next_tick_at <= world.now:
+                self.raft(name).election_due_at = world.now
             world.now += 120.0
             for host in world.hosts.values():  # the others would wait a little longer
                 if (
@@ -68,7 +68,7 @@
                     and host.name != name
                     and host.raft.role is not Role.LEADER
                 ):
-                    host.raft.election_at = max(host.raft.election_at, world.now + 50.0)
+                    host.raft.election_due_at = max(host.raft.election_due_at, world.now + 50.0)
             for other in world.hosts:
                 world.tick(other)
             for _ in range(6):
@@ -123,7 +123,7 @@
         self.world.compact(name)
 
     def do_change(self, name: str, other: str) -> None:
-        known = self.raft(name).log.roster.get(other)
+        known = self.raft(name).log.configuration.get(other)
         self.came = self.raft(name)._change_blocked()
         self.world.change(name, other)
         assert known is not None or other in self.world.hosts
@@ -169,7 +169,9 @@
             for host in self.world.hosts.values()
             if host.raft and host.raft.role is Role.LEADER
         )
-        assert sorted(leader.raft.log.roster.voters) == sorted(names), leader.raft.log.roster.voters
+        assert sorted(leader.raft.log.configuration.voters) == sorted(names), (
+            leader.raft.log.configuration.voters
+        )
 
     def do_learner(self, name: str) -> None:
         leader = next(
@@ -177,7 +179,7 @@
             for host in self.world.hosts.values()
             if host.raft and host.raft.role is Role.LEADER
         )
-        assert not leader.raft.log.roster.get(name).votes, f"{name} votes"
+        assert not leader.raft.log.configuration.get(name).votes, f"{name} votes"
 
     def do_snapshots(self, count: str) -> None:
         assert self.world.seen["snapshots"] >= int(count), self.world.seen
@@ -186,4 +188,4 @@
         assert self.world.seen["reads"] >= int(count), self.world.seen
 
     def do_refused(self, why: str) -> None:
-        assert isinstance(self.came, Refused) and self.came.why.value == why, self.came
+        assert isinstance(self.came, Refusal) and self.came.why.value == why, self.came
