--- a/lifthinge/cli/agreed.py
+++ b/lifthinge/cli/agreed.py
@@ -121,10 +121,10 @@
 
 
 def _shown(path: str, version: int | None):
-    from lifthinge.cluster import talk
+    from lifthinge.cluster import client_messages
 
     async def use(client, until):
-        return await client.ask(talk.Show(version), until)
+        return await client.ask(client_messages.GetVersion(version), until)
 
     reply = with_client(path, use, WAIT)
     refuse_sorry(reply)
@@ -164,10 +164,10 @@
 @as_json
 def history(since: int, path: str, as_json: bool) -> None:
     """Who agreed what when."""
-    from lifthinge.cluster import talk
+    from lifthinge.cluster import client_messages
 
     async def use(client, until):
-        return await client.ask(talk.History(since), until)
+        return await client.ask(client_messages.ListVersions(since), until)
 
     reply = with_client(path, use, WAIT)
     refuse_sorry(reply)
--- a/lifthinge/cli/check.py
+++ b/lifthinge/cli/check.py
@@ -23,11 +23,11 @@
     found = need(path)
     on = {part: getattr(found, part) is not None for part in ("member", "agreed")}
     if found.member is not None:
-        from lifthinge.cluster.keys import NoKeys, read_keys
+        from lifthinge.cluster.keys import KeyFileProblem, read_keys
 
         for name in ("key_file", "client_key_file"):
             keys = read_keys(getattr(found.member, name))
-            if isinstance(keys, NoKeys):
+            if isinstance(keys, KeyFileProblem):
                 stop(f"{path}: member.{name}: {keys.path}: {keys.why}")
     show(
         {"ok": True, "log": found.log.form, **on},
--- a/lifthinge/cli/common.py
+++ b/lifthinge/cli/common.py
@@ -55,8 +55,8 @@
 
 def with_client(path: str, use: Callable[..., Awaitable[T]], wait_ms: float) -> T:
     """Runs `use(client, until)` against the members that the operators' file names."""
-    from lifthinge.cluster.client import AgreedClient
-    from lifthinge.cluster.keys import KeyFile, NoKeys, read_keys
+    from lifthinge.cluster.client import ClusterClient
+    from lifthinge.cluster.keys import KeyFile, KeyFileProblem, read_keys
     from lifthinge.operators import split_address
     from lifthinge.service.run import make_runtime
 
@@ -64,13 +64,13 @@
     if part is None:
         stop(f"{path}: agreed: no such block, so no members to ask")
     keys = read_keys(part.key_file)
-    if isinstance(keys, NoKeys):
+    if isinstance(keys, KeyFileProblem):
         stop(f"{path}: agreed.key_file: {keys.path}: {keys.why}")
 
     async def run() -> T:
         runtime = make_runtime(time.time_ns(), 256)
         members = {name: split_address(one) for name, one in part.members.items()}
-        client = AgreedClient(runtime, members, part.cluster, "cli", KeyFile(part.key_file, keys))
+        client = ClusterClient(runtime, members, part.cluster, "cli", KeyFile(part.key_file, keys))
         try:
             return await use(client, runtime.now + wait_ms)
         finally:
@@ -81,11 +81,11 @@
 
 def refuse_sorry(reply: Any) -> None:
     """Ends the command if the members gave no proper answer."""
-    from lifthinge.cluster.talk import Sorry
+    from lifthinge.cluster.client_messages import Rejection
 
     if reply is None:
         stop("no member answered in time", FAILED)
-    if isinstance(reply, Sorry):
+    if isinstance(reply, Rejection):
         leads = f"; {reply.leader} leads" if reply.leader else ""
         unsure = "; it may have taken effect" if reply.may_have_run else ""
         stop(f"{reply.why}{leads}{unsure}", FAILED)
--- a/lifthinge/cli/members.py
+++ b/lifthinge/cli/members.py
@@ -17,14 +17,16 @@
 @as_json
 def members_list(path: str, as_json: bool) -> None:
     """Every member, as the one that leads sees it, and what each says of itself."""
-    from lifthinge.cluster import talk
-    from lifthinge.cluster.client import call
+    from lifthinge.cluster import client_messages
+    from lifthinge.cluster.client import connect_member
 
     async def use(client, until):
         reports = {}
         for name, where in client.members.items():
-            link = await call(client.runtime, where, client.cluster, client.name, client.keys)
-            report = await link.ask(talk.Status(), 2_000.0) if link else None
+            link = await connect_member(
+                client.runtime, where, client.cluster, client.name, client.keys
+            )
+            report = await link.ask(client_messages.GetStatus(), 2_000.0) if link else None
             if link:
                 link.close()
             if report is not None:
@@ -95,7 +97,7 @@
 def members_add(name: str, address: str, path: str, as_json: bool) -> None:
     """Adds a member, started beforehand with an empty `start_with`; it votes once it has caught up."""
     from lifthinge.cli.common import stop
-    from lifthinge.cluster import talk
+    from lifthinge.cluster import client_messages
     from lifthinge.operators import socket_address
 
     try:
@@ -104,7 +106,7 @@
         stop(f"{address}: {error}")
     _ask(
         path,
-        talk.Change(name, address),
+        client_messages.ChangeMembership(name, address),
         as_json,
         f"{name} is a learner and votes once it has caught up",
     )
@@ -116,9 +118,9 @@
 @as_json
 def members_remove(name: str, path: str, as_json: bool) -> None:
     """Removes a member; the one that leads may remove itself."""
-    from lifthinge.cluster import talk
+    from lifthinge.cluster import client_messages
 
-    _ask(path, talk.Change(name), as_json, f"{name} is no member any more")
+    _ask(path, client_messages.ChangeMembership(name), as_json, f"{name} is no member any more")
 
 
 @members.command("transfer")
@@ -127,6 +129,6 @@
 @as_json
 def members_transfer(name: str, path: str, as_json: bool) -> None:
     """Lets another member lead."""
-    from lifthinge.cluster import talk
+    from lifthinge.cluster import client_messages
 
-    _ask(path, talk.HandOver(name), as_json, f"{name} is asked to lead")
+    _ask(path, client_messages.TransferLeadership(name), as_json, f"{name} is asked to lead")
--- a/lifthinge/cli/store.py
+++ b/lifthinge/cli/store.py
@@ -17,14 +17,14 @@
 @as_json
 def verify(folder: str, as_json: bool) -> None:
     """Reads a member's folder without changing it: what it holds, or where it is damaged."""
-    from lifthinge.cluster.disk import replay
+    from lifthinge.cluster.disk import rebuild_state
     from lifthinge.store.files import Files
     from lifthinge.store.store import Damage, survey
 
     if not Path(folder).is_dir():
         stop(f"{folder}: no such folder")
     found = survey(Files(Path(folder)))
-    read = found if isinstance(found, Damage) else replay(found.snapshot, found.records)
+    read = found if isinstance(found, Damage) else rebuild_state(found.snapshot, found.records)
     if isinstance(read, Damage):
         stop(f"{folder}/{read}", FAILED)
     image, cluster = read
--- a/lifthinge/cluster/client.py
+++ b/lifthinge/cluster/client.py
@@ -6,10 +6,10 @@
 import msgspec
 
 from lifthinge.agreed.commands import Accepted, Opened, Outdated, Propose, Unusable
-from lifthinge.cluster import talk
+from lifthinge.cluster import client_messages
+from lifthinge.cluster.client_messages import Rejection
 from lifthinge.cluster.keys import KeyFile
 from lifthinge.cluster.link import Link
-from lifthinge.cluster.talk import Sorry
 from lifthinge.memory.attempts import Failure
 from lifthinge.memory.runtime import Runtime
 from lifthinge.wire.connection import connect
@@ -19,38 +19,42 @@
 Address = tuple[str, int]
 
 
-class Call:
+class MemberConnection:
     """One connection to one member, and the asks under way on it."""
 
     def __init__(self, runtime: Runtime, link: Link) -> None:
         self.runtime, self.link = runtime, link
         self._number = 0
         self._waiting: dict[int, asyncio.Future] = {}
-        self.told: asyncio.Queue | None = None  # what comes after the first answer of a Follow
-        link.heard, link.closed = self._heard, self._closed
+        self.pushed_replies: asyncio.Queue | None = (
+            None  # what comes after the first answer of a Follow
+        )
+        link.on_message, link.on_close = self._heard, self._closed
 
     def _heard(self, link: Link, body: bytes) -> None:
-        number, reply = talk.read_reply(body)
+        number, reply = client_messages.decode_reply(body)
         future = self._waiting.pop(number, None)
         if future is not None and not future.done():
             future.set_result(reply)
-        elif self.told is not None:
-            self.told.put_nowait(reply)
+        elif self.pushed_replies is not None:
+            self.pushed_replies.put_nowait(reply)
 
     def _closed(self, link: Link) -> None:
         waiting, self._waiting = self._waiting, {}
         for future in waiting.values():
             if not future.done():
                 future.set_result(None)
-        if self.told is not None:
-            self.told.put_nowait(None)
+        if self.pushed_replies is not None:
+            self.pushed_replies.put_nowait(None)
 
-    async def ask(self, what: talk.Ask, wait: float = ANSWER_WAIT) -> talk.Reply | None:
+    async def ask(
+        self, what: client_messages.Request, wait: float = ANSWER_WAIT
+    ) -> client_messages.Reply | None:
         """The answer; None if the connection broke or nothing came in time: what was asked may have run."""
         self._number += 1
         number = self._number
         future = self._waiting[number] = asyncio.get_running_loop().create_future()
-        if not self.link.say(talk.pack(number, what)):
+        if not self.link.send(client_messages.encode(number, what)):
             self._waiting.pop(number, None)
             return None
         deadline = self.runtime.deadlines.set(
@@ -66,25 +70,27 @@
         self.link.abort()
 
 
-async def call(
+async def connect_member(
     runtime: Runtime, where: Address, cluster: str, name: str, keys: KeyFile
-) -> Call | None:
+) -> MemberConnection | None:
     """A connection to a member, both sides known; None if there is none to be had."""
 
     def make() -> Link:
-        link = Link(runtime, lambda role: keys.now(), cluster, name, role="client", dials="member")
-        link.opened = lambda link: met.done() or met.set_result(True)
-        link.closed = lambda link: met.done() or met.set_result(False)
+        link = Link(
+            runtime, lambda role: keys.now(), cluster, name, role="client", dialed_peer="member"
+        )
+        link.on_open = lambda link: met.done() or met.set_result(True)
+        link.on_close = lambda link: met.done() or met.set_result(False)
         return link
 
     met = asyncio.get_running_loop().create_future()
     link = await connect(runtime, make, where)
     if isinstance(link, Failure):
         return None
-    return Call(runtime, link) if await met else None
+    return MemberConnection(runtime, link) if await met else None
 
 
-class AgreedClient:
+class ClusterClient:
     """Goes from member to member until one answers; `members` are addresses by name, as the asker reaches them."""
 
     def __init__(
@@ -97,17 +103,17 @@
             name,
             keys,
         )
-        self._call: Call | None = None
+        self._call: MemberConnection | None = None
         self._at = ""
         self.session, self.number = 0, 0
-        self.tries = 0
+        self.attempts = 0
 
     def close(self) -> None:
         if self._call is not None:
             self._call.close()
             self._call = None
 
-    async def _reach(self, hint: str = "") -> Call | None:
+    async def _reach(self, hint: str = "") -> MemberConnection | None:
         """The connection in use, or another: to who is said to lead, else to any."""
         if hint and hint != self._at and hint in self.members:
             self.close()
@@ -115,26 +121,30 @@
         if self._call is None or self._call.link.is_closed:
             if not hint:
                 self._at = self.runtime.rng.choice(sorted(self.members))
-            self._call = await call(
+            self._call = await connect_member(
                 self.runtime, self.members[self._at], self.cluster, self.name, self.keys
             )
         return self._call
 
-    async def ask(self, what: talk.Ask, until: float) -> talk.Reply | None:
+    async def ask(
+        self, what: client_messages.Request, until: float
+    ) -> client_messages.Reply | None:
         """An answer from who can give it, by `until` (ms, the books' clock); None if none came.
 
         What took no effect, or takes it once however often it is sent, is sent again.
         """
         hint, failed, last = "", 0, None
         while self.runtime.now < until:
-            self.tries += 1
+            self.attempts += 1
             link = await self._reach(hint)
             wait = max(until - self.runtime.now, 1.0)
             reply = await link.ask(what, min(wait, ANSWER_WAIT)) if link is not None else None
-            if reply is not None and not (isinstance(reply, Sorry) and reply.why in _ELSEWHERE):
+            if reply is not None and not (isinstance(reply, Rejection) and reply.why in _ELSEWHERE):
                 return reply
             last, failed = reply or last, failed + 1
-            hint = reply.leader if isinstance(reply, Sorry) and reply.why == "not_leader" else ""
+            hint = (
+                reply.leader if isinstance(reply, Rejection) and reply.why == "not_leader" else ""
+            )
             if reply is None or not hint:
                 self.close()
             if failed > 1 or not hint:
@@ -145,10 +155,12 @@
 
     async def propose(
         self, document: dict[str, Any], on: int, author: str, at: float, until: float
-    ) -> Accepted | Outdated | Unusable | Sorry | None:
+    ) -> Accepted | Outdated | Unusable | Rejection | None:
         """Proposes a document in place of version `on`; takes effect once, however often it is sent."""
         if not self.session:
-            opened = await self.ask(talk.Begin(self.runtime.rng.randbytes(8)), until)
+            opened = await self.ask(
+                client_messages.OpenSessionRequest(self.runtime.rng.randbytes(8)), until
+            )
             if not isinstance(opened, Opened):
                 return opened
             self.session, self.number = opened.session, 0
--- a/lifthinge/cluster/disk.py
+++ b/lifthinge/cluster/disk.py
@@ -5,10 +5,10 @@
 >>> from lifthinge.raft.messages import Entry, EntryKind
 >>> files = Files(Path(tempfile.mkdtemp()))
 >>> disk = open_disk(files)
->>> disk.carry_out([Write(1, 3, "b", has_vote=True, entries=[Entry(1, 3, EntryKind.COMMAND, b"x")])]); disk.store.close()
+>>> disk.apply_writes([Write(1, 3, "b", has_vote=True, entries=[Entry(1, 3, EntryKind.COMMAND, b"x")])]); disk.store.close()
 >>> disk = open_disk(files); disk.stored_state.persistent_state().voted_for, disk.stored_state.persistent_state().entries
 ('b', (Entry(index=1, term=3, kind=<EntryKind.COMMAND: 1>, data=b'x'),))
->>> disk.carry_out([Write(1, 3, "b", snapshot=Snapshot(1, 3, data=b"s"))]); disk.store.close()
+>>> disk.apply_writes([Write(1, 3, "b", snapshot=Snapshot(1, 3, data=b"s"))]); disk.store.close()
 >>> disk = open_disk(files); disk.stored_state.snapshot.data, disk.stored_state.entries, disk.stored_state.term
 (b's', [], 3)
 >>> disk.store.close()
@@ -35,7 +35,7 @@
     voted_for: str | None
 
 
-class Cluster(msgspec.Struct, array_like=True):
+class FolderIdentity(msgspec.Struct, array_like=True):
     """What a folder is for, written when it is begun: it is never taken for another's."""
 
     cluster: str
@@ -45,8 +45,8 @@
 
 _vote, _entry = msgspec.msgpack.Decoder(_Vote), msgspec.msgpack.Decoder(Entry)
 _snapshot, _cluster = (
-    msgspec.msgpack.Decoder(tuple[Cluster | None, Snapshot]),
-    msgspec.msgpack.Decoder(Cluster),
+    msgspec.msgpack.Decoder(tuple[FolderIdentity | None, Snapshot]),
+    msgspec.msgpack.Decoder(FolderIdentity),
 )
 _encode = msgspec.msgpack.Encoder().encode
 
@@ -54,16 +54,18 @@
 class Disk:
     """The store, and in memory what it holds; used by one thread at a time."""
 
-    def __init__(self, store: Store, stored_state: StoredState, identity: Cluster | None) -> None:
+    def __init__(
+        self, store: Store, stored_state: StoredState, identity: FolderIdentity | None
+    ) -> None:
         self.store, self.stored_state, self.identity = store, stored_state, identity
 
-    def begin(self, cluster: Cluster) -> None:
+    def initialize(self, cluster: FolderIdentity) -> None:
         """A new folder learns whose it is."""
         self.identity, self.stored_state.configuration = cluster, cluster.configuration
         self.store.append(BEGIN, _encode(cluster))
         self.store.sync()
 
-    def carry_out(self, writes: Iterable[Write]) -> None:
+    def apply_writes(self, writes: Iterable[Write]) -> None:
         """Makes writes durable, in their order; an `OSError` leaves the disk unusable."""
         due = False
         for write in writes:
@@ -99,7 +101,7 @@
     store = Store.open(files)
     if isinstance(store, Damage):
         return store
-    read = replay(store.snapshot, store.found)
+    read = rebuild_state(store.snapshot, store.found)
     store.found = []
     if isinstance(read, Damage):
         store.close()
@@ -107,9 +109,9 @@
     return Disk(store, *read)
 
 
-def replay(
+def rebuild_state(
     snapshot: bytes | None, records: Iterable[tuple[int, bytes]]
-) -> tuple[StoredState, Cluster | None] | Damage:
+) -> tuple[StoredState, FolderIdentity | None] | Damage:
     """What a snapshot and the records after it come to."""
     stored_state, cluster, place = StoredState(), None, 0
     try:
@@ -149,7 +151,7 @@
         self._thread.start()
         self.batches = self.writes = 0
 
-    def give(self, writes: list[Write]) -> None:
+    def submit(self, writes: list[Write]) -> None:
         self._waiting += writes
         self._start()
 
@@ -165,7 +167,7 @@
         while (batch := self._due.get()) is not None:
             error = None
             try:
-                self.disk.carry_out(batch)
+                self.disk.apply_writes(batch)
             except Exception as found:
                 error = found
             try:
--- a/lifthinge/cluster/follower.py
+++ b/lifthinge/cluster/follower.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from lifthinge.agreed.state import Fence
-from lifthinge.cluster import talk
-from lifthinge.cluster.client import Call, call
+from lifthinge.cluster import client_messages
+from lifthinge.cluster.client import MemberConnection, connect_member
 from lifthinge.cluster.keys import KeyFile
 from lifthinge.memory.runtime import Runtime
 
@@ -17,7 +17,7 @@
 TOLD_MOST = 64  # documents not yet taken in; the latest of them counts
 
 
-class AgreedFollower:
+class DocumentFollower:
     """`told` is called with each document that may be obeyed, in their order."""
 
     def __init__(
@@ -27,7 +27,7 @@
         cluster: str,
         name: str,
         keys: KeyFile,
-        told: Callable[[talk.Shown], None],
+        told: Callable[[client_messages.VersionReply], None],
     ) -> None:
         self.runtime, self.members, self.cluster, self.name, self.keys = (
             runtime,
@@ -38,14 +38,14 @@
         )
         self.told, self.fence = told, Fence()
         self.current = False  # a member that hears a majority vouches for what is held
-        self._call: Call | None = None
+        self._call: MemberConnection | None = None
 
     async def run(self) -> None:
         """Follows for good: from one member until it is no longer current, then from another."""
         names, place = sorted(self.members), self.runtime.rng.randrange(len(self.members))
         while True:
             place += 1
-            self._call = await call(
+            self._call = await connect_member(
                 self.runtime,
                 self.members[names[place % len(names)]],
                 self.cluster,
@@ -62,31 +62,37 @@
             self.current = False
             await self.runtime.pause(self.runtime.rng.uniform(*ASIDE))
 
-    async def _follow(self, link: Call) -> None:
-        link.told = asyncio.Queue(TOLD_MOST)
-        reply = await link.ask(talk.Follow(self.fence.held), ANSWER_WAIT)
-        if not isinstance(reply, talk.Shown):
+    async def _follow(self, link: MemberConnection) -> None:
+        link.pushed_replies = asyncio.Queue(TOLD_MOST)
+        reply = await link.ask(client_messages.Subscribe(self.fence.held), ANSWER_WAIT)
+        if not isinstance(reply, client_messages.VersionReply):
             self.runtime.counters.add("agreed.turned_away")
             return
         self.current = True
         self._take(reply)
         look = asyncio.get_running_loop().create_task(self._look(link))
         try:
-            while isinstance(reply := await link.told.get(), talk.Shown):
+            while isinstance(
+                reply := await link.pushed_replies.get(), client_messages.VersionReply
+            ):
                 self._take(reply)
         finally:
             look.cancel()
 
-    async def _look(self, link: Call) -> None:
+    async def _look(self, link: MemberConnection) -> None:
         """Ends the connection once the member does not answer, or hears no majority itself."""
         while True:
             await self.runtime.pause(LOOK_EVERY)
-            report = await link.ask(talk.Status(), ANSWER_WAIT)
-            if not isinstance(report, talk.Report) or not report.ready or not report.in_touch:
+            report = await link.ask(client_messages.GetStatus(), ANSWER_WAIT)
+            if (
+                not isinstance(report, client_messages.StatusReport)
+                or not report.ready
+                or not report.in_touch
+            ):
                 link.close()
                 return
 
-    def _take(self, one: talk.Shown) -> None:
+    def _take(self, one: client_messages.VersionReply) -> None:
         if not one.version:
             return
         if self.fence.admit(one.term, one.index):
--- a/lifthinge/cluster/sealing.py
+++ b/lifthinge/cluster/frame_auth.py
@@ -2,18 +2,18 @@
 
 A connection begins with a hello from each side, bare but signed: cluster, sender, receiver, what the sender is, the
 name of its key, and a nonce. From key, names and nonces each direction gets a key of its own; every later frame bears
-a MAC under that key over its number and its bytes. So a frame that is doubled, left out, out of order, from another
+a MAC_BYTES under that key over its number and its bytes. So a frame that is doubled, left out, out of order, from another
 connection, cluster or sender, or under a key no longer known, does not fit, and ends the connection.
 
 >>> key = b"k" * 32
->>> us, them = Sealer(key, b"talk", b"out"), Opener(key, b"talk", b"out")
->>> one, two = us.seal(b"a"), us.seal(b"b")
->>> them.open(one[4:]), them.open(two[4:]), them.open(two[4:])
+>>> us, them = FrameSigner(key, b"talk", b"out"), FrameVerifier(key, b"talk", b"out")
+>>> one, two = us.sign_frame(b"a"), us.sign_frame(b"b")
+>>> them.verify_frame(one[4:]), them.verify_frame(two[4:]), them.verify_frame(two[4:])
 (b'a', b'b', None)
->>> Opener(key, b"talk", b"in").open(Sealer(key, b"talk", b"out").seal(b"a")[4:]) is None
+>>> FrameVerifier(key, b"talk", b"in").verify_frame(FrameSigner(key, b"talk", b"out").sign_frame(b"a")[4:]) is None
 True
 >>> hello = Hello(1, "c", "a", "b", "member", "new", b"n" * 16)
->>> read_hello(sign(hello, key), {"new": key}), read_hello(sign(hello, key), {"old": key})
+>>> read_hello(sign_hello(hello, key), {"new": key}), read_hello(sign_hello(hello, key), {"old": key})
 (Hello(form=1, cluster='c', sender='a', receiver='b', role='member', key='new', nonce=b'nnnnnnnnnnnnnnnn'), 'unknown key')
 """
 
@@ -22,10 +22,10 @@
 import msgspec
 from blake3 import blake3
 
-MAC, NONCE, HEAD = 16, 16, 4
-FRAME_MOST = 4 << 20
-HELLO_MOST = 1024
-FORM = 1
+MAC_BYTES, NONCE_BYTES, LENGTH_BYTES = 16, 16, 4
+MAX_FRAME_BYTES = 4 << 20
+MAX_HELLO_BYTES = 1024
+PROTOCOL_VERSION = 1
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True):
@@ -45,10 +45,10 @@
     digest = blake3(key=key)
     for part in parts:
         digest.update(part)
-    return digest.digest(length=MAC)
+    return digest.digest(length=MAC_BYTES)
 
 
-def sign(hello: Hello, key: bytes) -> bytes:
+def sign_hello(hello: Hello, key: bytes) -> bytes:
     """A hello's frame, without its length."""
     body = msgspec.msgpack.encode(hello)
     return _mac(key, b"hello", body) + body
@@ -57,25 +57,25 @@
 def read_hello(frame: bytes, keys: dict[str, bytes]) -> Hello | str:
     """A hello that is signed by one of these keys, or why it is none."""
     try:
-        hello = _decoder.decode(frame[MAC:])
+        hello = _decoder.decode(frame[MAC_BYTES:])
     except (msgspec.ValidationError, msgspec.DecodeError):
         return "no hello"
     key = keys.get(hello.key)
     if key is None:
         return "unknown key"
-    if not hmac.compare_digest(frame[:MAC], _mac(key, b"hello", frame[MAC:])):
+    if not hmac.compare_digest(frame[:MAC_BYTES], _mac(key, b"hello", frame[MAC_BYTES:])):
         return "wrong signature"
-    if hello.form != FORM:
+    if hello.form != PROTOCOL_VERSION:
         return f"form {hello.form}"
-    return hello if len(hello.nonce) == NONCE else "no nonce"
+    return hello if len(hello.nonce) == NONCE_BYTES else "no nonce"
 
 
-def talk_of(ours: Hello, theirs: Hello) -> bytes:
+def connection_id(ours: Hello, theirs: Hello) -> bytes:
     """What a connection is told apart by: both hellos, the dialling side's first."""
     return msgspec.msgpack.encode((ours, theirs))
 
 
-class Sealer:
+class FrameSigner:
     """One direction's sending end."""
 
     __slots__ = ("_keyed", "_count")
@@ -84,27 +84,27 @@
         self._keyed = blake3(key=blake3(talk + direction, key=key).digest())
         self._count = 0
 
-    def seal(self, body: bytes) -> bytes:
+    def sign_frame(self, body: bytes) -> bytes:
         """A whole frame."""
         mac = self._next(body)
-        return (MAC + len(body)).to_bytes(HEAD, "big") + mac + body
+        return (MAC_BYTES + len(body)).to_bytes(LENGTH_BYTES, "big") + mac + body
 
     def _next(self, body: bytes) -> bytes:
         digest = self._keyed.copy()
         digest.update(self._count.to_bytes(8, "big"))
         digest.update(body)
         self._count += 1
-        return digest.digest(length=MAC)
+        return digest.digest(length=MAC_BYTES)
 
 
-class Opener(Sealer):
+class FrameVerifier(FrameSigner):
     """One direction's receiving end."""
 
-    def open(self, frame: bytes) -> bytes | None:
+    def verify_frame(self, frame: bytes) -> bytes | None:
         """The body of a frame without its length; None if it does not fit here and now."""
-        body = frame[MAC:]
+        body = frame[MAC_BYTES:]
         return (
             body
-            if len(frame) > MAC and hmac.compare_digest(frame[:MAC], self._next(body))
+            if len(frame) > MAC_BYTES and hmac.compare_digest(frame[:MAC_BYTES], self._next(body))
             else None
         )
--- a/lifthinge/cluster/keys.py
+++ b/lifthinge/cluster/keys.py
@@ -13,7 +13,7 @@
 >>> with open(path, "w") as file: _ = file.write("next " + "ef" * 32 + "\\n")
 >>> watched.now().signing                              # read again, as it has changed
 'next'
->>> os.chmod(path, 0o644); watched.now().signing, watched.fault.why     # unusable: the last keys stay in force
+>>> os.chmod(path, 0o644); watched.now().signing, watched.problem.why     # unusable: the last keys stay in force
 ('next', 'others can read it: chmod 600')
 >>> os.chmod(path, 0o644); read_keys(path).why.endswith("chmod 600")
 True
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoKeys:
+class KeyFileProblem:
     """Why a key file can't be used."""
 
     path: str
@@ -42,16 +42,16 @@
     by_id: dict[str, bytes]
 
 
-def read_keys(path: str) -> Keys | NoKeys:
+def read_keys(path: str) -> Keys | KeyFileProblem:
     """The keys of a file: lines of a name and 64 hexadecimal digits."""
     try:
         with open(path, encoding="ascii") as file:
             mode = os.fstat(file.fileno())
             if mode.st_mode & (stat.S_IRWXG | stat.S_IRWXO):
-                return NoKeys(path, "others can read it: chmod 600")
+                return KeyFileProblem(path, "others can read it: chmod 600")
             lines = file.read(FILE_MOST).splitlines()
     except (OSError, UnicodeDecodeError) as error:
-        return NoKeys(path, getattr(error, "strerror", None) or "no text")
+        return KeyFileProblem(path, getattr(error, "strerror", None) or "no text")
     by_id: dict[str, bytes] = {}
     for number, line in enumerate(lines, 1):
         words = line.split("#")[0].split()
@@ -60,14 +60,18 @@
         try:
             name, key = words[0], bytes.fromhex(words[1])
         except (IndexError, ValueError):
-            return NoKeys(path, f"line {number}: not a name and a key")
+            return KeyFileProblem(path, f"line {number}: not a name and a key")
         if len(key) != KEY_BYTES or len(words) != 2:
-            return NoKeys(path, f"line {number}: a key is {2 * KEY_BYTES} hexadecimal digits")
+            return KeyFileProblem(
+                path, f"line {number}: a key is {2 * KEY_BYTES} hexadecimal digits"
+            )
         if name in by_id or len(by_id) == KEYS_MOST:
-            return NoKeys(path, f"line {number}: more than {KEYS_MOST} keys, or one name twice")
+            return KeyFileProblem(
+                path, f"line {number}: more than {KEYS_MOST} keys, or one name twice"
+            )
         by_id[name] = key
     if not by_id:
-        return NoKeys(path, "no key in it")
+        return KeyFileProblem(path, "no key in it")
     return Keys(next(iter(by_id)), by_id)
 
 
@@ -75,7 +79,7 @@
     """A key file, read again when it has changed; one that has become unusable leaves the last keys in force."""
 
     def __init__(self, path: str, keys: Keys) -> None:
-        self.path, self.keys, self.fault = path, keys, None
+        self.path, self.keys, self.problem = path, keys, None
         self._seen = self._stamp()
 
     def _stamp(self) -> tuple[int, int, int] | None:
@@ -90,6 +94,6 @@
         if stamp != self._seen:
             self._seen = stamp
             found = read_keys(self.path)
-            self.fault = found if isinstance(found, NoKeys) else None
-            self.keys = self.keys if self.fault else found
+            self.problem = found if isinstance(found, KeyFileProblem) else None
+            self.keys = self.keys if self.problem else found
         return self.keys
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -13,11 +13,11 @@
 from lifthinge.agreed.commands import pack as pack_command
 from lifthinge.agreed.document import Fault, read_document
 from lifthinge.agreed.state import BODY_MOST, Agreed
-from lifthinge.cluster import talk
+from lifthinge.cluster import client_messages
+from lifthinge.cluster.client_messages import Rejection
 from lifthinge.cluster.disk import Committer, Disk
 from lifthinge.cluster.keys import Keys
 from lifthinge.cluster.link import Link
-from lifthinge.cluster.talk import Sorry
 from lifthinge.memory.attempts import Failure
 from lifthinge.memory.runtime import Runtime
 from lifthinge.raft import messages
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class Seat:
+class MemberSettings:
     """Which member this is, of which cluster."""
 
     cluster: str
@@ -67,11 +67,15 @@
     """Owns one member; `fatal` is called with the reason once it can't go on."""
 
     def __init__(
-        self, seat: Seat, runtime: Runtime, disk: Disk, fatal: Callable[[str], None]
+        self, settings: MemberSettings, runtime: Runtime, disk: Disk, fatal: Callable[[str], None]
     ) -> None:
-        self.seat, self.runtime, self.fatal = seat, runtime, fatal
+        self.settings, self.runtime, self.fatal = settings, runtime, fatal
         self.raft = Raft(
-            seat.name, runtime.rng, runtime.now, disk.stored_state.persistent_state(), seat.options
+            settings.name,
+            runtime.rng,
+            runtime.now,
+            disk.stored_state.persistent_state(),
+            settings.options,
         )
         self.state = Agreed()
         self.committer = Committer(disk, self._durable, lambda error: self._fail(f"disk: {error}"))
@@ -88,7 +92,7 @@
         self._each: dict[Link, int] = {}  # asks under way, by client
         self._asks = 0
         self._proposed: dict[int, list[_Ask]] = {}  # by index
-        self._reads: dict[_Ask, talk.Show] = {}
+        self._reads: dict[_Ask, client_messages.GetVersion] = {}
         self._to_apply: list[tuple[int, object]] = []  # reads that wait until this index is applied
         self._turn_due = self._over = False
         self._tick: Any = None
@@ -100,14 +104,14 @@
 
     async def start(self) -> None:
         self._server = await asyncio.get_running_loop().create_server(
-            self._accept, *self.seat.listen, backlog=512
+            self._accept, *self.settings.listen, backlog=512
         )
         self._turn()
         self._catch_up()
         self._look_around()
 
     @property
-    def where(self) -> Address:
+    def bound_address(self) -> Address:
         return self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
@@ -144,7 +148,7 @@
         for to, message in out.messages:
             self._say(to, message)
         if out.writes:
-            self.committer.give(out.writes)
+            self.committer.submit(out.writes)
         for one in out.to_apply:
             self._apply(one)
         for token, index in out.reads:
@@ -178,10 +182,10 @@
         if self._over:
             return
         for one in self.raft.log.configuration.members:
-            if one.name != self.seat.name:
+            if one.name != self.settings.name:
                 self._reach(one.name)
         self._note_touch()
-        self.runtime.deadlines.set(self.seat.options.election_timeout_ms, self._look_around)
+        self.runtime.deadlines.set(self.settings.options.election_timeout_ms, self._look_around)
 
     def _durable(self, number: int) -> None:
         if not self._over:
@@ -198,18 +202,18 @@
         configuration = self.raft.log.configuration
         if (
             configuration.members
-            and not configuration.get(self.seat.name)
+            and not configuration.get(self.settings.name)
             and self.raft.commit_index >= self.raft.log.configuration_index
         ):
             if not self.removed:
-                log.warning("removed", {"member": self.seat.name})
+                log.warning("removed", {"member": self.settings.name})
             self.removed = True
         else:
             self.removed = False
 
     def _note_touch(self) -> None:
         touch = self.raft.in_touch(
-            self.runtime.now, TOUCH_LEAST * self.seat.options.election_timeout_ms
+            self.runtime.now, TOUCH_LEAST * self.settings.options.election_timeout_ms
         )
         if touch != self.in_touch:
             self.in_touch = touch
@@ -230,25 +234,25 @@
             for index in [index for index in self._proposed if index <= one.index]:
                 for ask in self._proposed.pop(index):
                     self._answer(
-                        ask, Sorry("its fate is unknown", may_have_run=True, **self._leader())
+                        ask, Rejection("its fate is unknown", may_have_run=True, **self._leader())
                     )
             return
         if one.kind is EntryKind.COMMAND:
             answer = self.state.apply(one.index, one.term, one.data)
         else:
             self.state.passed(one.index, one.term)
-            answer = talk.Done(one.index)
+            answer = client_messages.Done(one.index)
         for ask in self._proposed.pop(one.index, ()):
             self._answer(
                 ask,
                 answer
                 if ask.term == one.term
-                else Sorry("another entry took its place", **self._leader()),
+                else Rejection("another entry took its place", **self._leader()),
             )
 
     def _compact(self) -> None:
         behind, size = self.state.index - self.raft.log.snapshot.index, self.raft.log.size_bytes
-        due = max(behind / self.seat.snapshot_entries, size / SNAPSHOT_BYTES)
+        due = max(behind / self.settings.snapshot_entries, size / SNAPSHOT_BYTES)
         if due < 1 or due < SNAPSHOT_LATEST and self.raft.is_sending_snapshot:
             return
         if self.raft.compact(self.state.index, self.state.export()):
@@ -270,19 +274,27 @@
         if show is None:
             return
         if index < 0:
-            self._answer(ask, Sorry("nobody leads who could say", **self._leader()))
-        elif type(show) is talk.History:
+            self._answer(ask, Rejection("nobody leads who could say", **self._leader()))
+        elif type(show) is client_messages.ListVersions:
             later = [one for one in self.state.versions if one.version >= show.since]
             self._answer(
                 ask,
-                talk.Versions(tuple(talk.shown(one, body=False) for one in later[:HISTORY_PAGE])),
+                client_messages.VersionList(
+                    tuple(
+                        client_messages.version_reply(one, body=False)
+                        for one in later[:HISTORY_PAGE]
+                    )
+                ),
             )
         elif show.version is None:
-            self._answer(ask, talk.shown(self.state.latest))
+            self._answer(ask, client_messages.version_reply(self.state.latest))
         else:
             found = next((one for one in self.state.versions if one.version == show.version), None)
             self._answer(
-                ask, talk.shown(found) if found else Sorry(f"version {show.version} is not kept")
+                ask,
+                client_messages.version_reply(found)
+                if found
+                else Rejection(f"version {show.version} is not kept"),
             )
 
     # Catching up after a start.
@@ -321,7 +333,7 @@
                 to
             ]  # a newcomer knows nobody's address yet: it answers where it was asked
         if link is not None and not link.is_closed:
-            if link.say(messages.encode(message)):
+            if link.send(messages.encode(message)):
                 self.runtime.counters.add("member.sent")
             else:
                 self.runtime.counters.add("member.unsent")
@@ -357,7 +369,7 @@
             address = member.address.rsplit(":", 1) if member else None
             found = (
                 await connect(
-                    self.runtime, lambda: self._link(dials=to), (address[0], int(address[1]))
+                    self.runtime, lambda: self._link(dialed_peer=to), (address[0], int(address[1]))
                 )
                 if address
                 else None
@@ -374,16 +386,16 @@
         self._kept.pop(to, None)
         self._dial_wait[to] = self.runtime.now + self.runtime.rng.uniform(*REDIAL)
 
-    def _link(self, dials: str = "") -> Link:
+    def _link(self, dialed_peer: str = "") -> Link:
         link = Link(
             self.runtime,
-            self.seat.keys,
-            self.seat.cluster,
-            self.seat.name,
-            dials=dials,
-            expects=dials,
+            self.settings.keys,
+            self.settings.cluster,
+            self.settings.name,
+            dialed_peer=dialed_peer,
+            expected_peer=dialed_peer,
         )
-        link.opened, link.heard, link.closed = self._opened, self._heard, self._closed
+        link.on_open, link.on_message, link.on_close = self._opened, self._heard, self._closed
         return link
 
     def _accept(self) -> Link:
@@ -395,45 +407,45 @@
         return link
 
     def _opened(self, link: Link) -> None:
-        if link.dials:
-            self._out[link.dials] = link
-            self._dialling.discard(link.dials)
+        if link.dialed_peer:
+            self._out[link.dialed_peer] = link
+            self._dialling.discard(link.dialed_peer)
             self.runtime.counters.add("member.links")
-            for message in self._kept.pop(link.dials, ()):
-                link.say(messages.encode(message))
-        elif link.other.role == "member":
-            self._from[link.other.sender] = link
-            self._dial_wait.pop(link.other.sender, None)  # it is back
+            for message in self._kept.pop(link.dialed_peer, ()):
+                link.send(messages.encode(message))
+        elif link.peer_hello.role == "member":
+            self._from[link.peer_hello.sender] = link
+            self._dial_wait.pop(link.peer_hello.sender, None)  # it is back
 
     def _closed(self, link: Link) -> None:
         self._in.pop(link, None)
         self._followers.pop(link, None)
         self._each.pop(link, None)
-        if link.other is not None and self._from.get(link.other.sender) is link:
-            del self._from[link.other.sender]
-        if link.dials and self._out.get(link.dials, link) is link:
-            self._out.pop(link.dials, None)
-            self._redial_later(link.dials)
+        if link.peer_hello is not None and self._from.get(link.peer_hello.sender) is link:
+            del self._from[link.peer_hello.sender]
+        if link.dialed_peer and self._out.get(link.dialed_peer, link) is link:
+            self._out.pop(link.dialed_peer, None)
+            self._redial_later(link.dialed_peer)
 
     def _heard(self, link: Link, body: bytes) -> None:
         if self._over:
             return
         try:
-            if link.other.role == "client":
-                number, ask = talk.read_ask(body)
+            if link.peer_hello.role == "client":
+                number, ask = client_messages.decode_request(body)
             else:
                 message = messages.decode(body)
         except (msgspec.ValidationError, msgspec.DecodeError) as error:
             self.runtime.rate_limited_log.warning(
-                "member_bad_message", peer=link.other.sender, why=str(error)
+                "member_bad_message", peer=link.peer_hello.sender, why=str(error)
             )
             link.abort()
             return
-        if link.other.role == "client":
+        if link.peer_hello.role == "client":
             self._asked(link, number, ask)
         else:
             try:
-                self.raft.step(link.other.sender, message, self.runtime.now)
+                self.raft.step(link.peer_hello.sender, message, self.runtime.now)
             except (
                 AssertionError
             ) as error:  # a promise of the protocol is broken: nothing may build on it
@@ -448,40 +460,46 @@
         member = self.raft.log.configuration.get(name)
         return {"leader": name, "address": member.address if member else ""}
 
-    def _asked(self, link: Link, number: int, what: talk.Ask) -> None:
+    def _asked(self, link: Link, number: int, what: client_messages.Request) -> None:
         ask = _Ask(link, number)
-        if type(what) is talk.Status:
-            link.say(talk.pack(number, self._report()))
+        if type(what) is client_messages.GetStatus:
+            link.send(client_messages.encode(number, self._report()))
             return
         if self._each.get(link, 0) >= ASKS_EACH or self._asks >= ASKS_MOST:
             self.runtime.counters.add("member.busy")
-            link.say(talk.pack(number, Sorry(RefusalReason.BUSY.value, **self._leader())))
+            link.send(
+                client_messages.encode(
+                    number, Rejection(RefusalReason.BUSY.value, **self._leader())
+                )
+            )
             return
-        if type(what) is talk.Follow:
+        if type(what) is client_messages.Subscribe:
             self._follow(ask, what)
             return
         if not self.ready:
-            link.say(talk.pack(number, Sorry("catching up", **self._leader())))
+            link.send(client_messages.encode(number, Rejection("catching up", **self._leader())))
             return
         self._each[link] = self._each.get(link, 0) + 1
         self._asks += 1
         ask.deadline = self.runtime.deadlines.set(
-            READ_WAIT if type(what) in (talk.Show, talk.History) else ASK_WAIT,
+            READ_WAIT
+            if type(what) in (client_messages.GetVersion, client_messages.ListVersions)
+            else ASK_WAIT,
             lambda: self._given_up(ask),
         )
-        if type(what) in (talk.Show, talk.History):
+        if type(what) in (client_messages.GetVersion, client_messages.ListVersions):
             self._reads[ask] = what
             self._settle(ask, self.raft.read(ask, self.runtime.now))
-        elif type(what) is talk.HandOver:
+        elif type(what) is client_messages.TransferLeadership:
             refused = self.raft.transfer_leadership(what.target, self.runtime.now)
             self._settle(ask, refused) if refused else self._answer(
-                ask, talk.Done(self.raft.commit_index)
+                ask, client_messages.Done(self.raft.commit_index)
             )
-        elif type(what) is talk.Change:
+        elif type(what) is client_messages.ChangeMembership:
             self._settle(
                 ask, self.raft.change_membership(what.name, what.address, self.runtime.now)
             )
-        elif type(what) is talk.Begin:
+        elif type(what) is client_messages.OpenSessionRequest:
             self._settle(
                 ask, self.raft.propose(pack_command(OpenSession(what.nonce)), self.runtime.now)
             )
@@ -499,7 +517,7 @@
         except (msgspec.DecodeError, RecursionError) as error:
             found = Fault("document", str(error))
         if isinstance(found, Fault):
-            self._answer(ask, Sorry(f"{found.key}: {found.why}", **self._leader()))
+            self._answer(ask, Rejection(f"{found.key}: {found.why}", **self._leader()))
         else:
             self._settle(ask, self.raft.propose(pack_command(what), self.runtime.now))
 
@@ -507,7 +525,7 @@
         """What the protocol made of an ask: an index to wait for, a refusal, or (a read) nothing yet."""
         if isinstance(came, Refusal):
             self._reads.pop(ask, None)
-            self._answer(ask, Sorry(came.why.value, **self._leader()))
+            self._answer(ask, Rejection(came.why.value, **self._leader()))
         elif came is not None:
             ask.term, ask.sent = self.raft.term, True
             self._proposed.setdefault(came, []).append(ask)
@@ -522,9 +540,9 @@
         }
         self._to_apply = [one for one in self._to_apply if one[1] is not ask]
         self.runtime.counters.add("member.given_up")
-        self._answer(ask, Sorry("no answer in time", may_have_run=ask.sent, **self._leader()))
+        self._answer(ask, Rejection("no answer in time", may_have_run=ask.sent, **self._leader()))
 
-    def _answer(self, ask: _Ask, reply: talk.Reply) -> None:
+    def _answer(self, ask: _Ask, reply: client_messages.Reply) -> None:
         if ask.deadline is not None:
             ask.deadline.cancel()
             ask.deadline = None
@@ -532,43 +550,47 @@
             if ask.link in self._each:
                 self._each[ask.link] -= 1
         self.runtime.counters.add(f"member.answers.{reply.__struct_config__.tag}")
-        ask.link.say(talk.pack(ask.number, reply))
+        ask.link.send(client_messages.encode(ask.number, reply))
 
     # Front ends.
 
-    def _follow(self, ask: _Ask, what: talk.Follow) -> None:
+    def _follow(self, ask: _Ask, what: client_messages.Subscribe) -> None:
         """A front end is taken on by a member that is current; it never hears an older document than it holds."""
         latest = self.state.latest
         if not self.ready or not self.in_touch or self.removed:
-            ask.link.say(
-                talk.pack(
+            ask.link.send(
+                client_messages.encode(
                     ask.number,
-                    Sorry("no majority" if self.ready else "catching up", **self._leader()),
+                    Rejection("no majority" if self.ready else "catching up", **self._leader()),
                 )
             )
         elif latest is not None and (latest.term, latest.index) < what.held:
-            ask.link.say(talk.pack(ask.number, Sorry("behind what you hold", **self._leader())))
+            ask.link.send(
+                client_messages.encode(
+                    ask.number, Rejection("behind what you hold", **self._leader())
+                )
+            )
         else:
             self._followers[ask.link] = ask.number
-            ask.link.say(talk.pack(ask.number, talk.shown(latest)))
+            ask.link.send(client_messages.encode(ask.number, client_messages.version_reply(latest)))
 
     def _tell_followers(self) -> None:
         latest = self.state.latest
         if latest is None or latest.index <= self._told:
             return
         self._told = latest.index
-        reply = talk.shown(latest)
+        reply = client_messages.version_reply(latest)
         for link, number in list(self._followers.items()):
-            if not link.say(talk.pack(number, reply)):
+            if not link.send(client_messages.encode(number, reply)):
                 link.abort()  # too slow for its own good: it asks anew, and hears the latest
 
-    def _report(self) -> talk.Report:
+    def _report(self) -> client_messages.StatusReport:
         raft, now = self.raft, self.runtime.now
         views = []
         for one in raft.log.configuration.members:
             seen = raft.progress.get(one.name)
             views.append(
-                talk.MemberView(
+                client_messages.MemberStatus(
                     one.name,
                     one.address,
                     one.votes,
@@ -576,8 +598,8 @@
                     now - seen.heard_at if seen else -1.0,
                 )
             )
-        return talk.Report(
-            self.seat.name,
+        return client_messages.StatusReport(
+            self.settings.name,
             raft.role.name.lower(),
             raft.term,
             raft.leader or "",
--- a/lifthinge/lab/cuts.py
+++ b/lifthinge/lab/cuts.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from lifthinge.cluster.sealing import HEAD, MAC, Hello
+from lifthinge.cluster.frame_auth import LENGTH_BYTES, MAC_BYTES, Hello
 
 BLOCK = 64 << 10
 HELD_MOST = 32 << 20
@@ -49,12 +49,12 @@
     def came(self, side: _Side, data: bytes) -> None:
         if side is self.near and not self.sender:
             self.head += data
-            length = int.from_bytes(self.head[:HEAD], "big")
-            if len(self.head) < HEAD + length or len(self.head) < HEAD + MAC:
+            length = int.from_bytes(self.head[:LENGTH_BYTES], "big")
+            if len(self.head) < LENGTH_BYTES + length or len(self.head) < LENGTH_BYTES + MAC_BYTES:
                 return
             try:
                 self.sender = msgspec.msgpack.decode(
-                    self.head[HEAD + MAC : HEAD + length], type=Hello
+                    self.head[LENGTH_BYTES + MAC_BYTES : LENGTH_BYTES + length], type=Hello
                 ).sender
             except (msgspec.DecodeError, msgspec.ValidationError):
                 return self.end()
--- a/lifthinge/lab/raftbench.py
+++ b/lifthinge/lab/raftbench.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from lifthinge.agreed.commands import Propose
-from lifthinge.cluster import talk
+from lifthinge.cluster import client_messages
 from lifthinge.lab.raftdrill import ELECTION, START_WAIT, Drill
 
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -109,7 +109,7 @@
     packed = msgspec.msgpack.encode(body)
 
     async def one(client) -> None:
-        opened = await client.ask(talk.Begin(b"n"), end + 5_000.0)
+        opened = await client.ask(client_messages.OpenSessionRequest(b"n"), end + 5_000.0)
         number = 0
         while drill.runtime.now < end:
             number += 1
--- a/lifthinge/lab/raftdrill.py
+++ b/lifthinge/lab/raftdrill.py
@@ -21,8 +21,8 @@
 
 from lifthinge.agreed.commands import Accepted, Outdated
 from lifthinge.agreed.state import Fence
-from lifthinge.cluster import talk
-from lifthinge.cluster.client import AgreedClient, Call, call
+from lifthinge.cluster import client_messages
+from lifthinge.cluster.client import ClusterClient, MemberConnection, connect_member
 from lifthinge.cluster.keys import KeyFile, read_keys
 from lifthinge.lab.cuts import Way
 from lifthinge.lab.linear import Seen, misorder
@@ -81,7 +81,7 @@
             path.touch(mode=0o600)
             path.write_text(f"k1 {self.dice.randbytes(32).hex()}\n")
         path = str(self.folder / "clients.key")
-        self.watched: dict[str, Call] = {}
+        self.watched: dict[str, MemberConnection] = {}
         self.watch_keys = KeyFile(path, read_keys(path))
 
     async def place(self, name: str) -> None:
@@ -136,20 +136,20 @@
             process.send_signal(how)
             process.wait(20)
 
-    def client(self, name: str) -> AgreedClient:
-        return AgreedClient(self.runtime, self.addresses, "drill", name, self.watch_keys)
+    def client(self, name: str) -> ClusterClient:
+        return ClusterClient(self.runtime, self.addresses, "drill", name, self.watch_keys)
 
-    async def reports(self, wait: float = 300.0) -> dict[str, talk.Report]:
-        async def one(name: str) -> talk.Report | None:
+    async def reports(self, wait: float = 300.0) -> dict[str, client_messages.StatusReport]:
+        async def one(name: str) -> client_messages.StatusReport | None:
             link = self.watched.get(name)
             if link is None or link.link.is_closed:
-                link = await call(
+                link = await connect_member(
                     self.runtime, self.addresses[name], "drill", "watch", self.watch_keys
                 )
                 if link is None:
                     return None
                 self.watched[name] = link
-            return await link.ask(talk.Status(), wait)
+            return await link.ask(client_messages.GetStatus(), wait)
 
         names = [name for name in self.names if name in self.running and name not in self.stopped]
         found = await asyncio.gather(*(one(name) for name in names))
@@ -179,8 +179,8 @@
             else:
                 self.unknown += 1
                 client.session = 0  # its fate is unknown: a new number would pass it by
-                shown = await client.ask(talk.Show(), self.runtime.now + 5_000.0)
-                on = shown.version if isinstance(shown, talk.Shown) else on
+                shown = await client.ask(client_messages.GetVersion(), self.runtime.now + 5_000.0)
+                on = shown.version if isinstance(shown, client_messages.VersionReply) else on
             await self.runtime.pause(dice.uniform(0, 30))
         client.close()
 
@@ -188,8 +188,8 @@
         client = self.client(f"r{number}")
         while not self.over:
             asked = self.runtime.now
-            reply = await client.ask(talk.Show(), asked + 5_000.0)
-            if isinstance(reply, talk.Shown):
+            reply = await client.ask(client_messages.GetVersion(), asked + 5_000.0)
+            if isinstance(reply, client_messages.VersionReply):
                 self.reads += 1
                 self.history.append(Seen(asked, self.runtime.now, reply.version, False))
             if self.dice.random() < 0.2:
@@ -202,16 +202,16 @@
         fence, at = Fence(), (0, 0)
         while not self.over:
             name = self.dice.choice(self.names)
-            link = await call(
+            link = await connect_member(
                 self.runtime, self.addresses[name], "drill", f"f{number}", self.watch_keys
             )
             if link is None:
                 await self.runtime.pause(100.0)
                 continue
-            link.told = asyncio.Queue(1_000)
-            reply = await link.ask(talk.Follow(fence.held), 1_000.0)
+            link.pushed_replies = asyncio.Queue(1_000)
+            reply = await link.ask(client_messages.Subscribe(fence.held), 1_000.0)
             until = self.runtime.now + self.dice.uniform(500, 3_000)
-            while isinstance(reply, talk.Shown) and not self.over:
+            while isinstance(reply, client_messages.VersionReply) and not self.over:
                 if reply.version and fence.admit(reply.term, reply.index):
                     self.follows += 1
                     self.went_back += (reply.term, reply.index) < at
@@ -220,7 +220,7 @@
                 if self.runtime.now > until:
                     break
                 try:
-                    reply = await asyncio.wait_for(link.told.get(), 0.5)
+                    reply = await asyncio.wait_for(link.pushed_replies.get(), 0.5)
                 except TimeoutError:
                     pass
             link.close()
@@ -366,8 +366,10 @@
         client = self.client("change")
         if len(self.names) > 3 and self.dice.random() < 0.5:
             name = self.dice.choice(self.names)
-            reply = await client.ask(talk.Change(name), self.runtime.now + 3_000.0)
-            if isinstance(reply, talk.Done):
+            reply = await client.ask(
+                client_messages.ChangeMembership(name), self.runtime.now + 3_000.0
+            )
+            if isinstance(reply, client_messages.Done):
                 self.say("removed", name)
                 self.changes += 1
                 self.names.remove(name)
@@ -380,12 +382,13 @@
             self.start(name)
             self.names.append(name)
             reply = await client.ask(
-                talk.Change(name, self.outside[name]), self.runtime.now + 3_000.0
+                client_messages.ChangeMembership(name, self.outside[name]),
+                self.runtime.now + 3_000.0,
             )
-            if isinstance(reply, talk.Done):
+            if isinstance(reply, client_messages.Done):
                 self.say("added", name)
                 self.changes += 1
-            elif not (isinstance(reply, talk.Sorry) and not reply.may_have_run):
+            elif not (isinstance(reply, client_messages.Rejection) and not reply.may_have_run):
                 self.say("perhaps added", name)
             else:
                 self.names.remove(name)
@@ -397,9 +400,10 @@
         client = self.client("transfer")
         self.transfers += isinstance(
             await client.ask(
-                talk.HandOver(self.dice.choice(self.names)), self.runtime.now + 1_000.0
+                client_messages.TransferLeadership(self.dice.choice(self.names)),
+                self.runtime.now + 1_000.0,
             ),
-            talk.Done,
+            client_messages.Done,
         )
         client.close()
 
@@ -444,7 +448,7 @@
     async def judge(self) -> dict[str, Any]:
         """What was promised, held against what the members hold."""
         end, digests, commits = self.runtime.now + SETTLE * 1000.0, set(), set()
-        reports: dict[str, talk.Report] = {}
+        reports: dict[str, client_messages.StatusReport] = {}
         while self.runtime.now < end:
             reports = await self.reports(1_000.0)
             members = {
@@ -522,12 +526,14 @@
             }
         return result
 
-    async def _history(self) -> dict[int, talk.Shown]:
+    async def _history(self) -> dict[int, client_messages.VersionReply]:
         """All versions kept, from who leads; sessions of before are gone by, as the folder keeps the latest."""
         client, found, since = self.client("judge"), {}, 0
         while True:
-            reply = await client.ask(talk.History(since), self.runtime.now + 10_000.0)
-            if not isinstance(reply, talk.Versions) or not reply.versions:
+            reply = await client.ask(
+                client_messages.ListVersions(since), self.runtime.now + 10_000.0
+            )
+            if not isinstance(reply, client_messages.VersionList) or not reply.versions:
                 client.close()
                 return found
             found.update({one.version: one for one in reply.versions})
--- a/lifthinge/service/agreed_source.py
+++ b/lifthinge/service/agreed_source.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from lifthinge.agreed.document import Document, Fault, read_document
-from lifthinge.cluster import talk
-from lifthinge.cluster.follower import AgreedFollower
-from lifthinge.cluster.keys import KeyFile, NoKeys, read_keys
+from lifthinge.cluster import client_messages
+from lifthinge.cluster.follower import DocumentFollower
+from lifthinge.cluster.keys import KeyFile, KeyFileProblem, read_keys
 from lifthinge.interface import Event, OperatorOverrides
 from lifthinge.memory.registry import Registry
 from lifthinge.memory.runtime import Runtime
@@ -36,9 +36,9 @@
         self.document: Document | None = None
         self._deadline: Any = None
         members = {member: split_address(address) for member, address in part.members.items()}
-        self.follower = AgreedFollower(runtime, members, part.cluster, name, keys, self._told)
+        self.follower = DocumentFollower(runtime, members, part.cluster, name, keys, self._told)
 
-    def _told(self, one: talk.Shown) -> None:
+    def _told(self, one: client_messages.VersionReply) -> None:
         found = read_document(msgspec.msgpack.decode(one.body))
         if isinstance(found, Fault):
             self.runtime.rate_limited_log.warning(
@@ -89,6 +89,6 @@
             self._deadline.cancel()
 
 
-def open_key_file(part: AgreedPart) -> KeyFile | NoKeys:
+def open_key_file(part: AgreedPart) -> KeyFile | KeyFileProblem:
     keys = read_keys(part.key_file)
-    return keys if isinstance(keys, NoKeys) else KeyFile(part.key_file, keys)
+    return keys if isinstance(keys, KeyFileProblem) else KeyFile(part.key_file, keys)
--- a/lifthinge/service/member.py
+++ b/lifthinge/service/member.py
@@ -7,9 +7,9 @@
 from pathlib import Path
 from random import SystemRandom
 
-from lifthinge.cluster.disk import Cluster, open_disk
-from lifthinge.cluster.keys import KeyFile, Keys, NoKeys, read_keys
-from lifthinge.cluster.member import MemberServer, Seat
+from lifthinge.cluster.disk import FolderIdentity, open_disk
+from lifthinge.cluster.keys import KeyFile, KeyFileProblem, Keys, read_keys
+from lifthinge.cluster.member import MemberServer, MemberSettings
 from lifthinge.operators import MemberPart, split_address
 from lifthinge.raft.messages import Configuration, Member
 from lifthinge.raft.node import RaftOptions
@@ -31,7 +31,7 @@
     files = {}
     for role, name in (("member", "key_file"), ("client", "client_key_file")):
         keys = read_keys(getattr(part, name))
-        if isinstance(keys, NoKeys):
+        if isinstance(keys, KeyFileProblem):
             raise MemberStartupError(f"{path}: member.{name}: {keys.path}: {keys.why}")
         files[role] = KeyFile(getattr(part, name), keys)
     return files
@@ -54,7 +54,7 @@
         first = Configuration(
             tuple(Member(name, address) for name, address in sorted(part.start_with.items()))
         )
-        disk.begin(Cluster(part.cluster, part.name, first))
+        disk.initialize(FolderIdentity(part.cluster, part.name, first))
     elif (disk.identity.cluster, disk.identity.member) != (part.cluster, part.name):
         raise MemberStartupError(
             f"{path}: member.folder: {part.folder}: belongs to {disk.identity.member} of"
@@ -71,9 +71,9 @@
 
     def keys(role: str) -> Keys:
         found = files[role].now()
-        if files[role].fault:
+        if files[role].problem:
             runtime.rate_limited_log.warning(
-                "keys_unusable", path=files[role].path, why=files[role].fault.why
+                "keys_unusable", path=files[role].path, why=files[role].problem.why
             )
         return found
 
@@ -82,7 +82,7 @@
         over.set()
 
     disk = _open(part, path, kind)
-    seat = Seat(
+    seat = MemberSettings(
         part.cluster,
         part.name,
         split_address(part.listen),
@@ -107,7 +107,7 @@
         {
             "member": part.name,
             "cluster": part.cluster,
-            "listen": "%s:%d" % member.where,
+            "listen": "%s:%d" % member.bound_address,
             "term": member.raft.term,
             "last": member.raft.log.last_index,
             "pid": os.getpid(),
--- a/lifthinge/service/run.py
+++ b/lifthinge/service/run.py
@@ -71,11 +71,11 @@
     """What the operators' file asks for; without it nothing of that is even imported."""
     if operators is None or operators.agreed is None:
         return
-    from lifthinge.cluster.keys import NoKeys
+    from lifthinge.cluster.keys import KeyFileProblem
     from lifthinge.service.agreed_source import AgreedDocumentSource, open_key_file
 
     keys = open_key_file(operators.agreed)
-    if isinstance(keys, NoKeys):
+    if isinstance(keys, KeyFileProblem):
         raise StartupError("agreed.key_file", f"{keys.path}: {keys.why}")
     controller.set_agreed_source(
         AgreedDocumentSource(
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -9,14 +9,22 @@
 
 from lifthinge.agreed import commands
 from lifthinge.agreed.commands import Accepted, Opened, Outdated, Propose
-from lifthinge.cluster import talk
-from lifthinge.cluster.client import AgreedClient
-from lifthinge.cluster.disk import Cluster, open_disk
-from lifthinge.cluster.follower import AgreedFollower
+from lifthinge.cluster import client_messages
+from lifthinge.cluster.client import ClusterClient
+from lifthinge.cluster.disk import FolderIdentity, open_disk
+from lifthinge.cluster.follower import DocumentFollower
+from lifthinge.cluster.frame_auth import (
+    LENGTH_BYTES,
+    PROTOCOL_VERSION,
+    FrameSigner,
+    Hello,
+    connection_id,
+    read_hello,
+    sign_hello,
+)
 from lifthinge.cluster.keys import KeyFile, Keys, read_keys
 from lifthinge.cluster.link import Link
-from lifthinge.cluster.member import MemberServer, Seat
-from lifthinge.cluster.sealing import FORM, HEAD, Hello, Sealer, read_hello, sign, talk_of
+from lifthinge.cluster.member import MemberServer, MemberSettings
 from lifthinge.raft import messages as raft_messages
 from lifthinge.raft.messages import Configuration, Member
 from lifthinge.raft.node import RaftOptions
@@ -39,7 +47,7 @@
     async def open(self) -> tuple[str, int]:
         def make() -> Link:
             link = Link(self.runtime, lambda role: self.keys[role], "depots", "b")
-            link.heard = lambda link, body: self.bodies.append(body)
+            link.on_message = lambda link, body: self.bodies.append(body)
             return link
 
         server = await asyncio.get_running_loop().create_server(make, "127.0.0.1", 0)
@@ -49,19 +57,19 @@
 async def _meet(where, hello: Hello, key: bytes) -> tuple:
     """A stranger's or member's end, by hand: reader, writer, and what seals once the other has answered."""
     reader, writer = await asyncio.open_connection(*where)
-    frame = sign(hello, key)
-    writer.write(len(frame).to_bytes(HEAD, "big") + frame)
+    frame = sign_hello(hello, key)
+    writer.write(len(frame).to_bytes(LENGTH_BYTES, "big") + frame)
     try:
-        size = int.from_bytes(await reader.readexactly(HEAD), "big")
+        size = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
         found = read_hello(await reader.readexactly(size), {hello.key: key})
     except (asyncio.IncompleteReadError, ConnectionError):
         return reader, writer, None
-    return reader, writer, Sealer(key, talk_of(hello, found), b"out")
+    return reader, writer, FrameSigner(key, connection_id(hello, found), b"out")
 
 
 def _hello(**changes) -> Hello:
     fields = {
-        "form": FORM,
+        "form": PROTOCOL_VERSION,
         "cluster": "depots",
         "sender": "a",
         "receiver": "b",
@@ -118,16 +126,16 @@
             assert len(heard.bodies) - before == good, make
 
         _, _, elsewhere = await _meet(where, _hello(), KEY)
-        foreign = elsewhere.seal(b"x")
-        await sends(lambda sealer: (frame := sealer.seal(b"x")) + frame, 1)
-        await sends(lambda sealer: sealer.seal(b"1")[:0] + sealer.seal(b"2"), 0)
+        foreign = elsewhere.sign_frame(b"x")
+        await sends(lambda sealer: (frame := sealer.sign_frame(b"x")) + frame, 1)
+        await sends(lambda sealer: sealer.sign_frame(b"1")[:0] + sealer.sign_frame(b"2"), 0)
         await sends(lambda sealer: foreign, 0)
-        await sends(lambda sealer: sealer.seal(b"x")[:-1] + b"y", 0)
-        await sends(lambda sealer: sealer.seal(b"a") + (1 << 30).to_bytes(4, "big") + b"z", 1)
+        await sends(lambda sealer: sealer.sign_frame(b"x")[:-1] + b"y", 0)
+        await sends(lambda sealer: sealer.sign_frame(b"a") + (1 << 30).to_bytes(4, "big") + b"z", 1)
         one, two = None, None
 
         def swapped(sealer):
-            one, two = sealer.seal(b"1"), sealer.seal(b"2")
+            one, two = sealer.sign_frame(b"1"), sealer.sign_frame(b"2")
             return two + one
 
         await sends(swapped, 0)
@@ -144,12 +152,12 @@
         heard.keys["member"] = Keys("new", {"new": OTHER, "k": KEY})
         reader, writer = await asyncio.open_connection(*where)
         hello = _hello()
-        frame = sign(hello, KEY)
-        writer.write(len(frame).to_bytes(HEAD, "big") + frame)
-        size = int.from_bytes(await reader.readexactly(HEAD), "big")
+        frame = sign_hello(hello, KEY)
+        writer.write(len(frame).to_bytes(LENGTH_BYTES, "big") + frame)
+        size = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
         found = read_hello(await reader.readexactly(size), {"new": OTHER})
         assert isinstance(found, Hello) and found.sender == "b"
-        writer.write(Sealer(KEY, talk_of(hello, found), b"out").seal(b"on"))
+        writer.write(FrameSigner(KEY, connection_id(hello, found), b"out").sign_frame(b"on"))
         while not heard.bodies:
             await asyncio.sleep(0)
         heard.keys["member"] = Keys("new", {"new": OTHER})
@@ -179,8 +187,10 @@
     async def start(self, name: str, first: Configuration) -> None:
         disk = open_disk(Files(self.folder / f"disk-{name}"))
         if disk.identity is None:
-            disk.begin(Cluster("depots", name, first))
-        seat = Seat("depots", name, self.where[name], PACE, lambda role: self.by_role[role])
+            disk.initialize(FolderIdentity("depots", name, first))
+        seat = MemberSettings(
+            "depots", name, self.where[name], PACE, lambda role: self.by_role[role]
+        )
         server = MemberServer(seat, self.runtime, disk, self.failed.append)
         await server.start()
         self.servers[name] = server
@@ -200,8 +210,8 @@
         for name in self.names:
             await self.start(name, first)
 
-    def client(self) -> AgreedClient:
-        return AgreedClient(self.runtime, self.where, "depots", "test", self.keys)
+    def client(self) -> ClusterClient:
+        return ClusterClient(self.runtime, self.where, "depots", "test", self.keys)
 
     async def stop(self) -> None:
         for server in self.servers.values():
@@ -215,7 +225,7 @@
         trio = Trio()
         await trio.start_all()
         client, told = trio.client(), []
-        follower = AgreedFollower(
+        follower = DocumentFollower(
             trio.runtime, trio.where, "depots", "front", trio.keys, told.append
         )
         task = asyncio.create_task(follower.run())
@@ -228,8 +238,8 @@
         late = await client.propose({}, 0, "op", 1.0, until)
         assert late == Outdated(1), late
         bad = await client.propose({"zones": [{"nam": "a"}]}, 1, "op", 1.0, until)
-        assert isinstance(bad, talk.Sorry) and "did you mean name" in bad.why, bad
-        shown = await client.ask(talk.Show(), until)
+        assert isinstance(bad, client_messages.Rejection) and "did you mean name" in bad.why, bad
+        shown = await client.ask(client_messages.GetVersion(), until)
         assert shown.version == 1 and shown.body == body
         while not told:
             await trio.runtime.pause(10.0)
@@ -315,7 +325,9 @@
         trio.where = {}
         await trio.start_all()
         client = trio.client()
-        opened = await client.ask(talk.Begin(b"n"), trio.runtime.now + 10_000.0)
+        opened = await client.ask(
+            client_messages.OpenSessionRequest(b"n"), trio.runtime.now + 10_000.0
+        )
         assert isinstance(opened, Opened), opened
         server = trio.servers["a"]
         server.raft.options = RaftOptions(
@@ -325,7 +337,7 @@
         body = msgspec.msgpack.encode({})
         began = trio.runtime.now
         reply = await link.ask(Propose(opened.session, 1, 0, 0.0, "op", body))
-        assert reply == talk.Sorry("busy", "a", "%s:%d" % trio.where["a"]), reply
+        assert reply == client_messages.Rejection("busy", "a", "%s:%d" % trio.where["a"]), reply
         huge = await link.ask(Propose(opened.session, 2, 0, 0.0, "op", bytes((1 << 20) + 1)))
         assert huge.why == "document: too large" and trio.runtime.now - began < 1_000.0, huge
         client.close()
@@ -357,25 +369,25 @@
         "Accepted": commands.Accepted(1, 1, 1),
         "Outdated": commands.Outdated(1),
         "Unusable": commands.Unusable("why"),
-        "Begin": talk.Begin(b"n"),
-        "Show": talk.Show(),
-        "History": talk.History(),
-        "Status": talk.Status(),
-        "Change": talk.Change("a"),
-        "HandOver": talk.HandOver("a"),
-        "Follow": talk.Follow(),
-        "Sorry": talk.Sorry("busy"),
-        "Shown": talk.Shown(*version),
-        "Versions": talk.Versions(()),
-        "Done": talk.Done(1),
-        "Report": talk.Report(*report),
+        "Begin": client_messages.OpenSessionRequest(b"n"),
+        "Show": client_messages.GetVersion(),
+        "History": client_messages.ListVersions(),
+        "Status": client_messages.GetStatus(),
+        "Change": client_messages.ChangeMembership("a"),
+        "HandOver": client_messages.TransferLeadership("a"),
+        "Follow": client_messages.Subscribe(),
+        "Sorry": client_messages.Rejection("busy"),
+        "Shown": client_messages.VersionReply(*version),
+        "Versions": client_messages.VersionList(()),
+        "Done": client_messages.Done(1),
+        "Report": client_messages.StatusReport(*report),
     }
     for tag, message in messages_by_tag.items():
         found = msgspec.msgpack.decode(msgspec.msgpack.encode(message))
         assert isinstance(found, list) and found[0] == tag, (tag, found)
     tagged = {
         struct
-        for module in (raft_messages, commands, talk)
+        for module in (raft_messages, commands, client_messages)
         for struct in vars(module).values()
         if isinstance(struct, type)
         and issubclass(struct, msgspec.Struct)
