--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -212,7 +212,7 @@
             self.removed = False
 
     def _note_touch(self) -> None:
-        touch = self.raft.in_touch(
+        touch = self.raft.has_recent_quorum(
             self.runtime.now, TOUCH_LEAST * self.settings.options.election_timeout_ms
         )
         if touch != self.in_touch:
