--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -164,7 +164,7 @@
     def _arm(self) -> None:
         """A time that has moved on is not set anew each time: it is looked at once the former one is due."""
         due = self.raft.next_tick_at
-        if self._tick is not None and self._tick.pending:
+        if self._tick is not None and self._tick.is_pending:
             if self._tick.at <= due:
                 return
             self._tick.cancel()
