--- a/lifthinge/cluster/disk.py
+++ b/lifthinge/cluster/disk.py
@@ -76,7 +76,7 @@
                     self._append(
                         write
                     )  # what the snapshot supersedes is told first, and dropped with it
-                self.stored_state.take(write)
+                self.stored_state.apply_write(write)
                 kept = [(VOTE, _encode(_Vote(self.stored_state.term, self.stored_state.voted_for)))]
                 kept += [(ENTRY, _encode(one)) for one in self.stored_state.entries]
                 self.store.save(_encode((self.identity, write.snapshot)), kept)
@@ -93,7 +93,7 @@
             return
         for one in write.entries:
             self.store.append(ENTRY, _encode(one))
-        self.stored_state.take(write)
+        self.stored_state.apply_write(write)
 
 
 def open_disk(files: Files) -> Disk | Damage:
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -144,14 +144,14 @@
         self._turn_due = False
         if self._over:
             return
-        out = self.raft.take()
+        out = self.raft.take_output()
         for to, message in out.messages:
             self._say(to, message)
         if out.writes:
             self.committer.submit(out.writes)
         for one in out.to_apply:
             self._apply(one)
-        for token, index in out.reads:
+        for token, index in out.read_results:
             self._to_apply.append((index, token))
         if self._to_apply:
             self._press_reads()
@@ -189,7 +189,7 @@
 
     def _durable(self, number: int) -> None:
         if not self._over:
-            self.raft.durable(number)
+            self.raft.record_durable(number)
             self._turn()
 
     def _note_role(self) -> None:
--- a/lifthinge/lab/raftworld.py
+++ b/lifthinge/lab/raftworld.py
@@ -125,7 +125,7 @@
         host = self.hosts[name]
         if host.raft is not None:
             for write in host.unsynced[:kept]:
-                host.image.take(write)
+                host.image.apply_write(write)
             host.raft, host.unsynced, host.reads = None, [], {}
             self.seen["crashes"] += 1
 
@@ -133,9 +133,9 @@
         host = self.hosts[name]
         if host.raft is not None and host.unsynced and name not in self.asleep:
             for write in host.unsynced:
-                host.image.take(write)
+                host.image.apply_write(write)
             number, host.unsynced = host.unsynced[-1].number, []
-            host.raft.durable(number)
+            host.raft.record_durable(number)
             self._take(host)
 
     def tick(self, name: str) -> None:
@@ -356,14 +356,14 @@
     # What is seen, and must hold.
 
     def _take(self, host: Host) -> None:
-        out = host.raft.take()
+        out = host.raft.take_output()
         for to, message in out.messages:
             self.wire.append((host.name, to, message))
         del self.wire[: max(len(self.wire) - UNDER_WAY_MOST, 0)]
         host.unsynced += out.writes
         for one in out.to_apply:
             self._applied(host, one)
-        for token, index in out.reads:
+        for token, index in out.read_results:
             if index >= 0:
                 host.reads[token] = index
             else:
--- a/lifthinge/raft/node.py
+++ b/lifthinge/raft/node.py
@@ -1,8 +1,8 @@
 """One member's part in the protocol: it only steps; who drives it owns disk, network and clock.
 
 A driver hands over what came (`step`), the time (`tick`, no later than `due`), what clients want (`propose`, `read`,
-`change`, `transfer`), then takes what is to be done (`take`): messages to send now, writes to make durable in
-their order, entries to apply. Once writes are durable it says so (`durable`); what must not be said before is held
+`change`, `transfer`), then takes what is to be done (`take_output`): messages to send now, writes to make durable in
+their order, entries to apply. Once writes are durable it says so (`record_durable`); what must not be said before is held
 back until then. Nothing here reads a clock, a file or the network. Times are float milliseconds.
 
 The steps are those of Ongaro and Ousterhout (2014), figure 2, with pre-vote, check of quorum, leader transfer,
@@ -11,13 +11,13 @@
 
 >>> from random import Random
 >>> alone = Raft("a", Random(7), 0.0, PersistentState(configuration=Configuration((Member("a", "127.0.0.1:1"),))))
->>> alone.tick(alone.next_tick_at); out = alone.take(); out.writes[-1].term, out.writes[-1].voted_for, alone.role.name
+>>> alone.tick(alone.next_tick_at); out = alone.take_output(); out.writes[-1].term, out.writes[-1].voted_for, alone.role.name
 (1, 'a', 'CANDIDATE')
->>> alone.durable(out.writes[-1].number); alone.role.name, alone.propose(b"x", 500.0)
+>>> alone.record_durable(out.writes[-1].number); alone.role.name, alone.propose(b"x", 500.0)
 ('LEADER', 2)
->>> out = alone.take(); [one.index for one in out.writes[-1].entries], out.to_apply
+>>> out = alone.take_output(); [one.index for one in out.writes[-1].entries], out.to_apply
 ([1, 2], [])
->>> alone.durable(out.writes[-1].number); [one.data for one in alone.take().to_apply]
+>>> alone.record_durable(out.writes[-1].number); [one.data for one in alone.take_output().to_apply]
 [b'', b'x']
 """
 
@@ -128,7 +128,7 @@
     messages: list[tuple[str, Message]] = field(default_factory=list)
     writes: list[Write] = field(default_factory=list)
     to_apply: list[Entry | Snapshot] = field(default_factory=list)
-    reads: list[tuple[object, int]] = field(
+    read_results: list[tuple[object, int]] = field(
         default_factory=list
     )  # token, index to be applied first; -1: no
 
@@ -244,7 +244,7 @@
         return self._add(EntryKind.COMMAND, data)
 
     def read(self, token: object, now: float) -> Refusal | None:
-        """Asks up to where all must be applied so that what is read is true now; `Output.reads` answers."""
+        """Asks up to where all must be applied so that what is read is true now; `Output.read_results` answers."""
         self.now = max(self.now, now)
         if len(self.reads) + len(self.asked) >= self.options.max_pending_reads:
             return Refusal(RefusalReason.BUSY, self.leader)
@@ -330,7 +330,7 @@
             return self.log.configuration.has_quorum(self._heard(now - within))
         return self.leader is not None and now - self.leader_at <= within
 
-    def take(self) -> Output:
+    def take_output(self) -> Output:
         """What is to be done now."""
         if self.role is Role.LEADER:
             if self.is_heartbeat_wanted:
@@ -350,7 +350,7 @@
         out, self._out = self._out, Output()
         return out
 
-    def durable(self, number: int) -> None:
+    def record_durable(self, number: int) -> None:
         """All writes up to this one will survive whatever comes."""
         while self._under_way and self._under_way[0][0] <= number:
             _, index, term, self.saved_term = self._under_way.popleft()
@@ -746,7 +746,7 @@
         if type(token) is _Remote:
             self._send(token.name, ReadIndexReply(self.term, token.number, index))
         else:
-            self._out.reads.append((token, index))
+            self._out.read_results.append((token, index))
 
     def _drop_reads(self) -> None:
         reads, self.reads, self.is_heartbeat_wanted = self.reads, deque(), False
@@ -755,7 +755,7 @@
 
     def _drop_asked(self) -> None:
         asked, self.asked = self.asked, {}
-        self._out.reads += [(token, -1) for token in asked.values()]
+        self._out.read_results += [(token, -1) for token in asked.values()]
 
     def _read_asked(self, sender: str, ask: ReadIndex) -> None:
         if self.role is not Role.LEADER or isinstance(
@@ -765,7 +765,7 @@
 
     def _read_answered(self, sender: str, reply: ReadIndexReply) -> None:
         if reply.token in self.asked:
-            self._out.reads.append((self.asked.pop(reply.token), reply.index))
+            self._out.read_results.append((self.asked.pop(reply.token), reply.index))
 
     # Replication, as follower.
 
--- a/lifthinge/raft/stored_state.py
+++ b/lifthinge/raft/stored_state.py
@@ -2,11 +2,11 @@
 
 >>> from lifthinge.raft.messages import EntryKind
 >>> stored_state = StoredState()
->>> stored_state.take(Write(1, 2, "b", has_vote=True, entries=[Entry(1, 1, EntryKind.NO_OP), Entry(2, 1, EntryKind.COMMAND, b"x")]))
->>> stored_state.take(Write(2, 3, None, has_vote=True, truncate_from=2, entries=[Entry(2, 3, EntryKind.NO_OP)]))
+>>> stored_state.apply_write(Write(1, 2, "b", has_vote=True, entries=[Entry(1, 1, EntryKind.NO_OP), Entry(2, 1, EntryKind.COMMAND, b"x")]))
+>>> stored_state.apply_write(Write(2, 3, None, has_vote=True, truncate_from=2, entries=[Entry(2, 3, EntryKind.NO_OP)]))
 >>> saved = stored_state.persistent_state(); saved.term, saved.voted_for, [(one.index, one.term) for one in saved.entries]
 (3, None, [(1, 1), (2, 3)])
->>> stored_state.take(Write(3, 3, None, snapshot=Snapshot(1, 1))); [one.index for one in stored_state.persistent_state().entries]
+>>> stored_state.apply_write(Write(3, 3, None, snapshot=Snapshot(1, 1))); [one.index for one in stored_state.persistent_state().entries]
 [2]
 >>> stored_state.append(Entry(2, 3, EntryKind.NO_OP)); stored_state.append(Entry(9, 3, EntryKind.NO_OP))
 Traceback (most recent call last):
@@ -53,7 +53,7 @@
         self.snapshot = snapshot
         self.entries = [one for one in self.entries if one.index > snapshot.index]
 
-    def take(self, write: Write) -> None:
+    def apply_write(self, write: Write) -> None:
         """One write of the protocol, in the order that it asks for."""
         if write.has_vote:
             self.set_vote(write.term, write.voted_for)
