--- a/lifthinge/raft/__init__.py
+++ b/lifthinge/raft/__init__.py
@@ -1,1 +1,4 @@
-"""The Raft protocol without I/O: messages and time in, messages, writes and applied entries out."""
+"""The Raft consensus protocol without I/O.
+
+Messages and the time come in; messages, writes and committed entries go out.
+"""
--- a/lifthinge/raft/messages.py
+++ b/lifthinge/raft/messages.py
@@ -1,33 +1,43 @@
-"""What members of a cluster say to one another, and what they keep: the names are the paper's.
-
-Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), and Ongaro's dissertation
-(2014): PreVote in 9.6, TimeoutNow in 3.10, ReadIndex in 6.4. Every message bears its sender's term, except that
-a PreVote bears the term that its sender would campaign in.
-
->>> said = AppendEntries(term=3, prev_log_index=7, prev_log_term=2, entries=(Entry(8, 3, EntryKind.COMMAND, b"x"),), commit_index=6, heartbeat_round=4)
->>> decode(encode(said)) == said
+"""The Raft messages between members of a cluster, and the records that members store.
+
+Names follow Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), and
+Ongaro's dissertation (2014): PreVote in 9.6, TimeoutNow in 3.10, ReadIndex in 6.4. Every message
+bears its sender's term; only a PreVote bears the term in which its sender would campaign.
+
+>>> entries = (Entry(8, 3, EntryKind.COMMAND, b"x"),)
+>>> request = AppendEntries(
+...     term=3,
+...     prev_log_index=7,
+...     prev_log_term=2,
+...     entries=entries,
+...     commit_index=6,
+...     heartbeat_round=4,
+... )
+>>> decode(encode(request)) == request
 True
->>> decode(encode(Configuration((Member("a", "127.0.0.1:1"), Member("b", "127.0.0.1:2", votes=False)))))
+>>> members = Member("a", "127.0.0.1:1"), Member("b", "127.0.0.1:2", votes=False)
+>>> decode(encode(Configuration(members)))
 Traceback (most recent call last):
     ...
 msgspec.ValidationError: Invalid value 'Roster' - at `$[0]`
 """
 
 from enum import IntEnum
-from typing import Union
 
 import msgspec
 
 
 class EntryKind(IntEnum):
-    """What an entry holds."""
+    """The kind of a log entry, which tells how its data is read."""
 
-    NO_OP = 0  # a leader's first of its term
-    COMMAND = 1  # for the state machine
-    CONFIGURATION = 2  # the members from here on
+    NO_OP = 0  # no data; the first entry of each leader's term
+    COMMAND = 1  # a command for the state machine
+    CONFIGURATION = 2  # an encoded `Configuration`, in force from this entry on
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
+    """One entry of the replicated log."""
+
     index: int
     term: int
     kind: EntryKind
@@ -35,7 +45,10 @@
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
-    """A member, where it is reached by the others, and whether it votes; one that does not is a learner."""
+    """A member of the cluster and the address at which other members reach it.
+
+    A member that does not vote is a learner (4.2.1).
+    """
 
     name: str
     address: str
@@ -43,41 +56,55 @@
 
 
 class Configuration(msgspec.Struct, array_like=True, frozen=True, tag="Roster"):
-    """Who the members are; in force from the moment its entry is in the log, committed or not."""
+    """The members of the cluster.
+
+    A member uses the latest configuration in its log, committed or not (4.1).
+    """
 
     members: tuple[Member, ...] = ()
 
     def get(self, name: str) -> Member | None:
-        return next((one for one in self.members if one.name == name), None)
+        """Return the member of this name, or None if there is none."""
+        return next((member for member in self.members if member.name == name), None)
 
     @property
     def voters(self) -> tuple[str, ...]:
-        return tuple(one.name for one in self.members if one.votes)
+        """The names of the members that vote."""
+        return tuple(member.name for member in self.members if member.votes)
 
     def has_quorum(self, names: set[str]) -> bool:
-        """Whether these include a majority of those who vote.
-
-        >>> three = Configuration((Member("a", ""), Member("b", ""), Member("c", ""), Member("d", "", votes=False)))
-        >>> three.has_quorum({"a", "d"}), three.has_quorum({"a", "c"}), Configuration().has_quorum({"a"})
-        (False, True, False)
+        """Whether `names` include a majority of the voters; never if there are no voters.
+
+        >>> learner = Member("d", "", votes=False)
+        >>> three = Configuration((Member("a", ""), Member("b", ""), Member("c", ""), learner))
+        >>> three.has_quorum({"a", "d"}), three.has_quorum({"a", "c"})
+        (False, True)
+        >>> Configuration().has_quorum({"a"})
+        False
         """
         voters = self.voters
         return bool(voters) and sum(name in names for name in voters) * 2 > len(voters)
 
-    def with_member(self, new: Member) -> "Configuration":
-        """This roster with one member new or changed.
+    def with_member(self, new_member: Member) -> "Configuration":
+        """Return a copy in which `new_member` is added, or replaces the member of its name.
 
         >>> Configuration().with_member(Member("a", "", False)).with_member(Member("a", "")).voters
         ('a',)
         """
-        return Configuration((*(one for one in self.members if one.name != new.name), new))
+        return Configuration(
+            (*(member for member in self.members if member.name != new_member.name), new_member)
+        )
 
     def without_member(self, name: str) -> "Configuration":
-        return Configuration(tuple(one for one in self.members if one.name != name))
+        """Return a copy without the member of this name."""
+        return Configuration(tuple(member for member in self.members if member.name != name))
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """The state after the entry `index`; `mark` (a digest of the data) tells two snapshots apart."""
+    """The state machine's state and the configuration after the entry at `index` (5.1).
+
+    `digest`, of the data, tells two snapshots of one index apart.
+    """
 
     index: int = 0
     term: int = 0
@@ -86,11 +113,15 @@
     digest: bytes = b""
 
 
-# Between members
+# Messages between members.
 
 
 class RequestVote(msgspec.Struct, array_like=True, frozen=True, tag="RequestVote"):
-    """`pre`: would you vote for me; `forced`: the leader itself wants this election (leader transfer)."""
+    """A request for a vote, or for a pre-vote, which only asks whether a vote would be granted.
+
+    `is_leadership_transfer`: the leader itself wants this election (3.10), so the receiver does not
+    refuse because it hears from a leader (4.2.3).
+    """
 
     term: int
     last_index: int
@@ -100,7 +131,10 @@
 
 
 class RequestVoteReply(msgspec.Struct, array_like=True, frozen=True, tag="Vote"):
-    """A granted pre-vote bears the term it was asked for; any other answer the sender's own."""
+    """The reply to RequestVote.
+
+    A granted pre-vote bears the term it was asked for; any other reply bears the sender's term.
+    """
 
     term: int
     is_pre_vote: bool
@@ -108,7 +142,11 @@
 
 
 class AppendEntries(msgspec.Struct, array_like=True, frozen=True, tag="AppendEntries"):
-    """`beat` numbers the leader's rounds, for ReadIndex and its check of quorum."""
+    """Entries to append, or a heartbeat if there are none.
+
+    `heartbeat_round` numbers the leader's heartbeat rounds; replies repeat it, so that the leader
+    can confirm its leadership for ReadIndex (6.4).
+    """
 
     term: int
     prev_log_index: int
@@ -119,9 +157,12 @@
 
 
 class AppendEntriesReply(msgspec.Struct, array_like=True, frozen=True, tag="AppendReply"):
-    """If ok, up to where the logs agree: for good (`match`), and yet to be written (`held`).
+    """The reply to AppendEntries.
 
-    Else, for the refused `prev_index`, the term that stands there and its first index.
+    On success, the logs match up to `received_index`, durably up to `match_index`. On failure,
+    `conflict_term` is the term of the receiver's entry at the rejected `prev_log_index` and
+    `conflict_index` its first index of that term; if it has no entry there, the term is 0 and the
+    index is the one after its last entry (3.5). A request of an outdated term gets 0 for both.
     """
 
     term: int
@@ -135,7 +176,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, array_like=True, frozen=True, tag="InstallSnapshot"):
-    """One chunk of a snapshot of `size` bytes, from `offset`."""
+    """A chunk of a snapshot of `size` bytes, from the byte `offset` on (5.3)."""
 
     term: int
     heartbeat_round: int
@@ -149,7 +190,10 @@
 
 
 class InstallSnapshotReply(msgspec.Struct, array_like=True, frozen=True, tag="SnapshotReply"):
-    """From where the next chunk is wanted; `done`: nothing more is, all up to `index` is held."""
+    """The reply to InstallSnapshot: the byte offset at which the next chunk shall begin.
+
+    `done`: no more chunks are needed, as the receiver holds everything up to `index`.
+    """
 
     term: int
     heartbeat_round: int
@@ -160,51 +204,60 @@
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, frozen=True, tag="TimeoutNow"):
-    """The receiver has all entries and shall campaign at once."""
+    """A leader's order to the target of a leadership transfer to campaign at once (3.10)."""
 
     term: int
 
 
 class ReadIndex(msgspec.Struct, array_like=True, frozen=True, tag="ReadIndex"):
-    """A member asks the leader up to where it must have applied, to serve what is true now."""
+    """A follower's request for the index that it must have applied to serve a read (6.4)."""
 
     term: int
     token: int
 
 
 class ReadIndexReply(msgspec.Struct, array_like=True, frozen=True, tag="ReadReply"):
-    """`index` is -1 where the one asked does not lead, or can't take more reads."""
+    """The reply to ReadIndex.
+
+    `index` is -1 if the receiver of the request does not lead, stopped leading, or is at its limit
+    of pending reads.
+    """
 
     term: int
     token: int
     index: int
 
 
-Message = Union[
-    RequestVote,
-    RequestVoteReply,
-    AppendEntries,
-    AppendEntriesReply,
-    InstallSnapshot,
-    InstallSnapshotReply,
-    TimeoutNow,
-    ReadIndex,
-    ReadIndexReply,
-]
+Message = (
+    RequestVote
+    | RequestVoteReply
+    | AppendEntries
+    | AppendEntriesReply
+    | InstallSnapshot
+    | InstallSnapshotReply
+    | TimeoutNow
+    | ReadIndex
+    | ReadIndexReply
+)
 
 _decoder = msgspec.msgpack.Decoder(Message)
-_roster_decoder = msgspec.msgpack.Decoder(Configuration)
+_configuration_decoder = msgspec.msgpack.Decoder(Configuration)
 _encoder = msgspec.msgpack.Encoder()
 
 
 def encode(message: object) -> bytes:
+    """Encode a message or a stored record as MessagePack."""
     return _encoder.encode(message)
 
 
 def decode(body: bytes) -> Message:
-    """One message out of untrusted bytes; `msgspec.ValidationError` or `DecodeError` if it is none."""
+    """Decode one message from untrusted bytes.
+
+    Raise `msgspec.DecodeError`, or its subclass `ValidationError`, if they hold no message.
+    """
     return _decoder.decode(body)
 
 
 def decode_configuration(data: bytes) -> Configuration:
-    return _roster_decoder.decode(data)
+    """Decode the data of a configuration entry."""
+    return _configuration_decoder.decode(data)
--- a/lifthinge/raft/node.py
+++ b/lifthinge/raft/node.py
@@ -34,7 +34,7 @@
 
 from blake3 import blake3
 
-from lifthinge.raft.log import ENTRY_OVERHEAD_BYTES, Log
+from lifthinge.raft.log import ENTRY_OVERHEAD_BYTES, UNLIMITED_BYTES, Log
 from lifthinge.raft.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -766,7 +766,9 @@
         """Send the next chunk of the snapshot, from the beginning if the snapshot is new."""
         snapshot = self.log.snapshot
         progress.start_snapshot(snapshot.index, snapshot.digest)
-        data = snapshot.data[progress.offset : progress.offset + self.options.max_chunk_bytes]
+        data = snapshot.data[
+            progress.snapshot_offset : progress.snapshot_offset + self.options.max_chunk_bytes
+        ]
         progress.record_sent(0, len(data), self.now)
         self._output.messages.append(
             (
@@ -779,7 +781,7 @@
                     snapshot.configuration,
                     snapshot.digest,
                     len(snapshot.data),
-                    progress.offset,
+                    progress.snapshot_offset,
                     data,
                 ),
             )
@@ -822,8 +824,8 @@
         if reply.done:
             progress.record_match(reply.index, reply.index, self.now)
             self._advance_commit_index()
-        elif progress.mode is ReplicationMode.SNAPSHOT and reply.digest == progress.digest:
-            progress.offset = min(reply.offset, len(self.log.snapshot.data))
+        elif progress.mode is ReplicationMode.SNAPSHOT and reply.digest == progress.snapshot_digest:
+            progress.snapshot_offset = min(reply.offset, len(self.log.snapshot.data))
             progress.sent_at = float("-inf")
         self._answer_confirmed_reads()
 
@@ -866,19 +868,19 @@
         is what the log held when the round began. A slower round is followed by another.
         """
         member = self.log.configuration.get(name)
-        if member is None or member.votes or progress.match_index < progress.round_end:
+        if member is None or member.votes or progress.match_index < progress.catch_up_target_index:
             return
         if (
-            progress.round_end
-            and self.now - progress.round_at <= self.options.election_timeout_ms
+            progress.catch_up_target_index
+            and self.now - progress.catch_up_began_at <= self.options.election_timeout_ms
             and not self._change_blocked()
         ):
             self._append_new_entry(
                 EntryKind.CONFIGURATION,
                 encode(self.log.configuration.with_member(Member(name, member.address))),
             )
-        progress.round_end = max(self.log.last_index, 1)
-        progress.round_at = self.now
+        progress.catch_up_target_index = max(self.log.last_index, 1)
+        progress.catch_up_began_at = self.now
 
     def _continue_transfer(self) -> None:
         """Tell the target of a transfer to campaign once it holds the whole log (3.10)."""
@@ -1138,7 +1140,7 @@
         """Advance the commit index to `index` and hand the newly committed entries out."""
         if index <= self.commit_index:
             return
-        committed_entries = self.log.entries_between(self.commit_index + 1, index, 1 << 62)
+        committed_entries = self.log.entries_between(self.commit_index + 1, index, UNLIMITED_BYTES)
         if self.role is Role.LEADER:
             self.pending_entries -= len(committed_entries)
             self.pending_bytes -= sum(
--- a/lifthinge/raft/progress.py
+++ b/lifthinge/raft/progress.py
@@ -1,39 +1,45 @@
-"""What a leader knows of another member's log, and how much it may send it now.
+"""A leader's view of another member's log, with flow control of what may be sent to it.
 
->>> one = Progress(next_index=5, now=0.0)
->>> one.mode.name, one.can_send(1.0, 100.0)
+Appends are pipelined as in Ongaro's dissertation, 10.2.1, within the limits of `MAX_INFLIGHT_*`.
+
+>>> progress = Progress(next_index=5, now=0.0)
+>>> progress.mode.name, progress.can_send(1.0, 100.0)
 ('PROBE', True)
->>> one.record_sent(5, 40, 1.0); one.can_send(50.0, 100.0), one.can_send(101.0, 100.0)
+>>> progress.record_sent(5, 40, 1.0)
+>>> progress.can_send(50.0, 100.0), progress.can_send(101.0, 100.0)
 (False, True)
->>> one.record_match(5, 4, 60.0); one.mode.name, one.next_index, one.can_send(61.0, 100.0)
+>>> progress.record_match(5, 4, 60.0)
+>>> progress.mode.name, progress.next_index, progress.can_send(61.0, 100.0)
 ('STREAM', 6, True)
->>> for last in range(6, 6 + MAX_INFLIGHT_APPENDS):
-...     one.record_sent(last, 10, 61.0)
->>> one.next_index, one.can_send(62.0, 100.0)
+>>> for last_index in range(6, 6 + MAX_INFLIGHT_APPENDS):
+...     progress.record_sent(last_index, 10, 61.0)
+>>> progress.next_index, progress.can_send(62.0, 100.0)
 (70, False)
->>> one.record_match(30, 30, 63.0); one.can_send(63.0, 100.0), one.match_index
+>>> progress.record_match(30, 30, 63.0); progress.can_send(63.0, 100.0), progress.match_index
 (True, 30)
->>> one.record_rejection(20, 12, 64.0), one.record_rejection(69, 12, 64.0), one.next_index, one.mode.name
-(False, True, 31, 'PROBE')
+>>> progress.record_rejection(20, 12, 64.0), progress.record_rejection(69, 12, 64.0)
+(False, True)
+>>> progress.next_index, progress.mode.name
+(31, 'PROBE')
 """
 
 from collections import deque
 from enum import Enum, auto
 
-MAX_INFLIGHT_APPENDS, MAX_INFLIGHT_BYTES = (
-    64,
-    4 << 20,
-)  # appends under way to one member, and their bytes
+MAX_INFLIGHT_APPENDS = 64  # unanswered appends to one member
+MAX_INFLIGHT_BYTES = 4 << 20  # of their entries
 
 
 class ReplicationMode(Enum):
-    PROBE = auto()  # where the logs part is not known: one append at a time
-    STREAM = auto()  # appends follow one another without waiting
-    SNAPSHOT = auto()  # what it lacks is compacted away: chunks, one at a time
+    """How a leader replicates its log to one member."""
+
+    PROBE = auto()  # the point up to which the logs match is unknown: one append at a time
+    STREAM = auto()  # appends are sent without waiting for replies
+    SNAPSHOT = auto()  # the entries it lacks are compacted: snapshot chunks, one at a time
 
 
 class Progress:
-    """One member, as its leader sees it; a silent one costs no more than its bounds."""
+    """The replication state of one member; limits bound what a silent member costs the leader."""
 
     __slots__ = (
         "mode",
@@ -42,77 +48,96 @@
         "heard_at",
         "heartbeat_round",
         "inflight",
-        "bytes",
+        "inflight_bytes",
         "sent_at",
-        "offset",
-        "digest",
-        "round_end",
-        "round_at",
+        "snapshot_offset",
+        "snapshot_digest",
+        "catch_up_target_index",
+        "catch_up_began_at",
     )
 
     def __init__(self, next_index: int, now: float) -> None:
-        self.mode, self.next_index, self.match_index = ReplicationMode.PROBE, next_index, 0
-        self.heard_at = now
-        self.heartbeat_round = 0  # the latest round that it has answered
-        self.inflight: deque[tuple[int, int]] = deque()  # last index, bytes
-        self.bytes = 0
-        self.sent_at = float("-inf")  # when a probe or chunk that is unanswered went out
-        self.offset, self.digest = 0, b""  # of the snapshot under way
-        self.round_end, self.round_at = 0, now  # of a learner's catching up: to where, since when
-
-    def can_send(self, now: float, patience: float) -> bool:
-        """Whether another append may go out; an unanswered probe is repeated after `patience` ms."""
+        self.mode = ReplicationMode.PROBE
+        self.next_index = next_index  # index of the next entry to send (figure 2)
+        self.match_index = 0  # last index known to be durable there and to match (figure 2)
+        self.heard_at = now  # time (ms) of the latest reply
+        self.heartbeat_round = 0  # latest heartbeat round that the member answered
+        self.inflight: deque[tuple[int, int]] = deque()  # unanswered appends: last index, bytes
+        self.inflight_bytes = 0
+        self.sent_at = float("-inf")  # time of the latest append or chunk; -inf if none is awaited
+        self.snapshot_offset = 0  # bytes of the snapshot that the member has received
+        self.snapshot_digest = b""  # of the snapshot being sent
+        # The present catch-up round of a learner (4.2.1): its last index, and when it began.
+        self.catch_up_target_index = 0
+        self.catch_up_began_at = now
+
+    def can_send(self, now: float, retry_after_ms: float) -> bool:
+        """Whether another append may be sent.
+
+        An unanswered probe or chunk is repeated after `retry_after_ms`.
+        """
         if self.mode is ReplicationMode.STREAM:
-            return len(self.inflight) < MAX_INFLIGHT_APPENDS and self.bytes < MAX_INFLIGHT_BYTES
-        return now - self.sent_at >= patience
-
-    def record_sent(self, last: int, size: int, now: float) -> None:
-        """Entries up to `last` went out."""
+            return (
+                len(self.inflight) < MAX_INFLIGHT_APPENDS
+                and self.inflight_bytes < MAX_INFLIGHT_BYTES
+            )
+        return now - self.sent_at >= retry_after_ms
+
+    def record_sent(self, last_index: int, size_bytes: int, now: float) -> None:
+        """Record that entries up to `last_index`, or a snapshot chunk, were sent."""
         self.sent_at = now
         if self.mode is ReplicationMode.STREAM:
-            self.next_index = last + 1
-            self.inflight.append((last, size))
-            self.bytes += size
+            self.next_index = last_index + 1
+            self.inflight.append((last_index, size_bytes))
+            self.inflight_bytes += size_bytes
 
-    def record_match(self, held: int, match: int, now: float) -> None:
-        """It holds what we hold up to `held`, and for good up to `match`."""
+    def record_match(self, received_index: int, match_index: int, now: float) -> None:
+        """Record that the logs match up to `received_index`, durably up to `match_index`."""
         self.heard_at = now
         if (
             self.mode is ReplicationMode.PROBE
             or self.mode is ReplicationMode.SNAPSHOT
-            and match >= self.next_index - 1
+            and match_index >= self.next_index - 1
         ):
-            self._turn(ReplicationMode.STREAM)
-            self.next_index = held + 1
-        self.match_index = max(self.match_index, match)
+            self._set_mode(ReplicationMode.STREAM)
+            self.next_index = received_index + 1
+        self.match_index = max(self.match_index, match_index)
         self.next_index = max(self.next_index, self.match_index + 1)
-        while self.inflight and self.inflight[0][0] <= held:
-            self.bytes -= self.inflight.popleft()[1]
+        while self.inflight and self.inflight[0][0] <= received_index:
+            self.inflight_bytes -= self.inflight.popleft()[1]
+
+    def record_rejection(self, prev_log_index: int, next_index_hint: int, now: float) -> bool:
+        """Go back after the member rejected an append that follows `prev_log_index`.
 
-    def record_rejection(self, prev: int, hint: int, now: float) -> bool:
-        """Its log lacks what ours has at `prev`; False if that was answered long ago."""
+        Return False if the rejection is outdated.
+        """
         self.heard_at = now
-        if prev <= self.match_index or self.mode is ReplicationMode.SNAPSHOT:
+        if prev_log_index <= self.match_index or self.mode is ReplicationMode.SNAPSHOT:
             return False
-        if self.mode is ReplicationMode.PROBE and prev != self.next_index - 1:
-            return False  # of an earlier probe
-        self._turn(ReplicationMode.PROBE)
-        self.next_index = max(self.match_index + 1, min(hint, prev))
+        if self.mode is ReplicationMode.PROBE and prev_log_index != self.next_index - 1:
+            return False  # reply to an earlier probe
+        self._set_mode(ReplicationMode.PROBE)
+        self.next_index = max(self.match_index + 1, min(next_index_hint, prev_log_index))
         return True
 
     def start_snapshot(self, index: int, digest: bytes) -> None:
-        """What it lacks is in the snapshot alone."""
-        if self.mode is not ReplicationMode.SNAPSHOT or self.digest != digest:
-            self._turn(ReplicationMode.SNAPSHOT)
-            self.next_index, self.offset, self.digest = index + 1, 0, digest
+        """Send the snapshot at `index` from its beginning, unless it is being sent already."""
+        if self.mode is not ReplicationMode.SNAPSHOT or self.snapshot_digest != digest:
+            self._set_mode(ReplicationMode.SNAPSHOT)
+            self.next_index = index + 1
+            self.snapshot_offset = 0
+            self.snapshot_digest = digest
 
     def assume_lost(self) -> None:
-        """What is under way may be lost: goes on from what is surely held."""
+        """Treat unanswered messages as lost and go on after the last entry known to match."""
         if self.mode is ReplicationMode.STREAM:
-            self._turn(ReplicationMode.PROBE)
+            self._set_mode(ReplicationMode.PROBE)
             self.next_index = self.match_index + 1
         self.sent_at = float("-inf")
 
-    def _turn(self, mode: ReplicationMode) -> None:
-        self.mode, self.bytes, self.sent_at = mode, 0, float("-inf")
+    def _set_mode(self, mode: ReplicationMode) -> None:
+        """Change the mode and forget the unanswered messages."""
+        self.mode = mode
+        self.inflight_bytes = 0
+        self.sent_at = float("-inf")
         self.inflight.clear()
--- a/lifthinge/raft/stored_state.py
+++ b/lifthinge/raft/stored_state.py
@@ -1,14 +1,19 @@
-"""What a member's disk holds, from the writes or the records that went there in their order.
+"""The state on a member's disk, rebuilt by applying its writes or records in order.
 
 >>> from lifthinge.raft.messages import EntryKind
 >>> stored_state = StoredState()
->>> stored_state.apply_write(Write(1, 2, "b", has_vote=True, entries=[Entry(1, 1, EntryKind.NO_OP), Entry(2, 1, EntryKind.COMMAND, b"x")]))
->>> stored_state.apply_write(Write(2, 3, None, has_vote=True, truncate_from=2, entries=[Entry(2, 3, EntryKind.NO_OP)]))
->>> saved = stored_state.persistent_state(); saved.term, saved.voted_for, [(one.index, one.term) for one in saved.entries]
+>>> entries = [Entry(1, 1, EntryKind.NO_OP), Entry(2, 1, EntryKind.COMMAND, b"x")]
+>>> stored_state.apply_write(Write(1, 2, "b", has_vote=True, entries=entries))
+>>> entries = [Entry(2, 3, EntryKind.NO_OP)]
+>>> stored_state.apply_write(Write(2, 3, None, has_vote=True, truncate_from=2, entries=entries))
+>>> saved = stored_state.persistent_state()
+>>> saved.term, saved.voted_for, [(entry.index, entry.term) for entry in saved.entries]
 (3, None, [(1, 1), (2, 3)])
->>> stored_state.apply_write(Write(3, 3, None, snapshot=Snapshot(1, 1))); [one.index for one in stored_state.persistent_state().entries]
+>>> stored_state.apply_write(Write(3, 3, None, snapshot=Snapshot(1, 1)))
+>>> [entry.index for entry in stored_state.persistent_state().entries]
 [2]
->>> stored_state.append(Entry(2, 3, EntryKind.NO_OP)); stored_state.append(Entry(9, 3, EntryKind.NO_OP))
+>>> stored_state.append(Entry(2, 3, EntryKind.NO_OP))
+>>> stored_state.append(Entry(9, 3, EntryKind.NO_OP))
 Traceback (most recent call last):
     ...
 ValueError: entry 9 follows 2
@@ -19,63 +24,77 @@
 
 
 class StoredState:
-    """Term, vote, snapshot and the entries after it; an order that makes no sense is a `ValueError`."""
+    """The stored term, vote, snapshot and entries after the snapshot.
+
+    A decreasing term or a gap in the entries raises `ValueError`.
+    """
 
     def __init__(self) -> None:
-        self.term, self.voted_for = 0, None
-        self.snapshot, self.entries = Snapshot(), []
-        self.configuration = Configuration()  # of a new cluster
+        self.term = 0
+        self.voted_for: str | None = None
+        self.snapshot = Snapshot()
+        self.entries: list[Entry] = []
+        self.configuration = Configuration()  # the initial one, in force without a snapshot
 
-    def set_vote(self, term: int, voted: str | None) -> None:
+    def set_vote(self, term: int, voted_for: str | None) -> None:
+        """Store the current term and the vote in it."""
         if term < self.term:
             raise ValueError(f"term {term} follows {self.term}")
-        self.term, self.voted_for = term, voted
+        self.term = term
+        self.voted_for = voted_for
 
-    def truncate(self, first: int) -> None:
-        """Entries from here on are void."""
-        self.entries = [one for one in self.entries if one.index < first]
+    def truncate(self, first_index: int) -> None:
+        """Delete the entries from `first_index` on."""
+        self.entries = [entry for entry in self.entries if entry.index < first_index]
 
     def append(self, entry: Entry) -> None:
-        """One that is held already changes nothing: a snapshot's segment begins with those that it keeps."""
-        last = self.entries[-1].index if self.entries else self.snapshot.index
+        """Append an entry, replacing a conflicting one and all after it.
+
+        An entry that is stored already changes nothing: the first segment after a snapshot begins
+        with the entries that the snapshot retains.
+        """
+        last_index = self.entries[-1].index if self.entries else self.snapshot.index
         if entry.index <= self.snapshot.index:
             return
-        if entry.index > last + 1:
-            raise ValueError(f"entry {entry.index} follows {last}")
-        if entry.index <= last:
-            held = self.entries[entry.index - self.entries[0].index]
-            if held.term == entry.term:
+        if entry.index > last_index + 1:
+            raise ValueError(f"entry {entry.index} follows {last_index}")
+        if entry.index <= last_index:
+            stored_entry = self.entries[entry.index - self.entries[0].index]
+            if stored_entry.term == entry.term:
                 return
             self.truncate(entry.index)
         self.entries.append(entry)
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
+        """Store a snapshot and delete the entries that it covers."""
         self.snapshot = snapshot
-        self.entries = [one for one in self.entries if one.index > snapshot.index]
+        self.entries = [entry for entry in self.entries if entry.index > snapshot.index]
 
     def apply_write(self, write: Write) -> None:
-        """One write of the protocol, in the order that it asks for."""
+        """Apply one write of the protocol; its parts apply in the order that `Write` documents."""
         if write.has_vote:
             self.set_vote(write.term, write.voted_for)
         if write.truncate_from is not None:
             self.truncate(write.truncate_from)
         if write.snapshot is None:
-            for one in write.entries:
-                self.append(one)
+            for entry in write.entries:
+                self.append(entry)
             return
-        for one in write.entries:
-            if one.index <= write.snapshot.index and self.follows(one.index):
-                self.append(one)
+        # Entries that the snapshot covers can be stored only if they follow the stored ones.
+        for entry in write.entries:
+            if entry.index <= write.snapshot.index and self._is_contiguous(entry.index):
+                self.append(entry)
         self.install_snapshot(write.snapshot)
-        for one in write.entries:
-            self.append(one)
+        for entry in write.entries:
+            self.append(entry)
 
-    def follows(self, index: int) -> bool:
-        """Whether an entry of this index could be held next, or is held."""
-        last = self.entries[-1].index if self.entries else self.snapshot.index
-        return index <= last + 1
+    def _is_contiguous(self, index: int) -> bool:
+        """Whether an entry at `index` is stored already or would be the next one."""
+        last_index = self.entries[-1].index if self.entries else self.snapshot.index
+        return index <= last_index + 1
 
     def persistent_state(self) -> PersistentState:
+        """Return the stored state as a member needs it to start."""
         return PersistentState(
             self.term, self.voted_for, self.snapshot, tuple(self.entries), self.configuration
         )
