--- a/lifthinge/channel.py
+++ b/lifthinge/channel.py
@@ -1,16 +1,26 @@
-"""The books of a channel to many proxies: which seals are out, who has not confirmed, how many lines wait.
+"""Flow control of the channel to the proxies: which messages are unconfirmed, and their size.
 
->>> books = Channel()
->>> books.record_sent(1, 10.0, ["p", "q"], 0.0)
->>> books.record_confirmation(1, "p"); books.record_confirmation(65_000, "q"); books.waiting_entries(), books.unconfirmed_receivers()
+A message is a batch of orders that goes to every joined proxy and ends with a seal, a number that
+each proxy confirms once it has applied the batch. Its size is counted in table entries. All times
+are in milliseconds.
+
+>>> channel = Channel()
+>>> channel.record_sent(1, 10.0, ["p", "q"], 0.0)
+>>> channel.record_confirmation(1, "p")
+>>> channel.record_confirmation(65_000, "q")  # no such seal: ignored
+>>> channel.waiting_entries(), channel.unconfirmed_receivers()
 (10.0, 1)
->>> books.record_repeat(1, 5.0, unrun=False); books.waiting_entries(), books.entries_per_receiver(1)
+>>> channel.record_repeat(1, 5.0, did_not_run=False)
+>>> channel.waiting_entries(), channel.entries_per_receiver(1)
 (20.0, 10.0)
->>> books.record_repeat(1, 6.0, unrun=True); books.waiting_entries(), len(books.push_times_ms)
+>>> channel.record_repeat(1, 6.0, did_not_run=True)
+>>> channel.waiting_entries(), len(channel.push_times_ms)
 (10.0, 2)
->>> books.drop_before(8.0, 8.0, held=9.0); books.waiting_entries(), len(books.push_times_ms)
+>>> channel.drop_before(8.0, 8.0, held_until_ms=9.0)
+>>> channel.waiting_entries(), len(channel.push_times_ms)
 (10.0, 1)
->>> books.record_confirmation(1, "q"); books.waiting_entries(), books.unconfirmed_receivers()
+>>> channel.record_confirmation(1, "q")
+>>> channel.waiting_entries(), channel.unconfirmed_receivers()
 (0.0, 0)
 """
 
@@ -20,79 +30,121 @@
 
 
 class Channel:
-    """Messages by seal, oldest first; one that all have confirmed is off the books."""
+    """Messages that may still wait in the channel, oldest first, and the times of recent pushes.
+
+    A message that every receiver has confirmed is dropped, unless it is the latest.
+    The order of the slots is part of the capture format.
+    """
 
     __slots__ = ("unconfirmed_messages", "push_times_ms", "last_push_ms")
 
     def __init__(self) -> None:
+        # Seal, entries per receiver, receivers that have not confirmed (a dictionary keeps their
+        # order), time sent in ms.
         self.unconfirmed_messages: deque[tuple[int, float, dict[Hashable, None], float]] = deque()
-        self.push_times_ms: deque[float] = deque()  # times of the pushes not yet forgotten
+        self.push_times_ms: deque[float] = deque()  # pushes within the push window
         self.last_push_ms = float("-inf")
 
     def record_sent(
-        self, seal: int, lines: float, receivers: Iterable[Hashable], now: float
+        self, seal: int, entries: float, receivers: Iterable[Hashable], now_ms: float
     ) -> None:
-        """Books one message of so many lines to each receiver."""
-        self.unconfirmed_messages.append((seal, lines, dict.fromkeys(receivers), now))
-        self.push_times_ms.append(now)
-        self.last_push_ms = now
+        """Record a message that carries this many entries to each receiver."""
+        self.unconfirmed_messages.append((seal, entries, dict.fromkeys(receivers), now_ms))
+        self.push_times_ms.append(now_ms)
+        self.last_push_ms = now_ms
 
     def record_confirmation(self, seal: int, receiver: Hashable) -> None:
-        """One receiver has answered a seal, and so all before it; any other number means nothing."""
-        upto = max(
-            (place for place, one in enumerate(self.unconfirmed_messages) if one[0] == seal),
+        """Record that a receiver has confirmed a seal, and with it all earlier messages.
+
+        A seal that no recorded message carries is ignored.
+        """
+        last_confirmed = max(
+            (
+                index
+                for index, message in enumerate(self.unconfirmed_messages)
+                if message[0] == seal
+            ),
             default=-1,
         )
-        for _, _, missing, _ in islice(self.unconfirmed_messages, upto + 1):
-            missing.pop(receiver, None)
+        for _, _, unconfirmed, _ in islice(self.unconfirmed_messages, last_confirmed + 1):
+            unconfirmed.pop(receiver, None)
         while len(self.unconfirmed_messages) > 1 and not self.unconfirmed_messages[0][2]:
             self.unconfirmed_messages.popleft()
 
     def entries_per_receiver(self, seal: int) -> float:
-        """Lines for each receiver of what went out under a seal."""
+        """Return how many entries the message of a seal carries to each receiver; 0 if unknown."""
         return next(
-            (lines for number, lines, _, _ in self.unconfirmed_messages if number == seal), 0.0
+            (
+                entries
+                for message_seal, entries, _, _ in self.unconfirmed_messages
+                if message_seal == seal
+            ),
+            0.0,
         )
 
     def missing_confirmations_before(self, seal: int) -> int:
-        """How many confirmations are missing of what went out before a seal; none if that is not on the books.
+        """Return how many confirmations are missing of the messages before that of a seal.
 
-        >>> books = Channel()
-        >>> books.record_sent(1, 5.0, "pq", 0.0); books.record_sent(2, 5.0, "pqr", 0.0); books.record_confirmation(1, "p")
-        >>> books.missing_confirmations_before(1), books.missing_confirmations_before(2), books.missing_confirmations_before(3)
-        (0, 1, 0)
+        Return 0 if the seal is unknown.
+
+        >>> channel = Channel()
+        >>> channel.record_sent(1, 5.0, "pq", 0.0)
+        >>> channel.record_sent(2, 5.0, "pqr", 0.0)
+        >>> channel.record_confirmation(1, "p")
+        >>> [channel.missing_confirmations_before(seal) for seal in (1, 2, 3)]
+        [0, 1, 0]
         """
-        place = next(
-            (place for place, one in enumerate(self.unconfirmed_messages) if one[0] == seal), 0
+        index = next(
+            (
+                index
+                for index, message in enumerate(self.unconfirmed_messages)
+                if message[0] == seal
+            ),
+            0,
+        )
+        return sum(
+            len(unconfirmed) for _, _, unconfirmed, _ in islice(self.unconfirmed_messages, index)
         )
-        return sum(len(missing) for _, _, missing, _ in islice(self.unconfirmed_messages, place))
 
-    def record_repeat(self, seal: int, now: float, unrun: bool) -> None:
-        """Books what goes out again under a seal: once more, or in place of what did not run."""
-        lines, missing = next(
-            (one[1:3] for one in self.unconfirmed_messages if one[0] == seal), (0.0, {})
+    def record_repeat(self, seal: int, now_ms: float, did_not_run: bool) -> None:
+        """Record that the message of a seal is sent again to those that have not confirmed it.
+
+        If `did_not_run`, the earlier call had no effect: the new message and push replace the
+        earlier ones. Otherwise both copies wait in the channel. A message of an unknown seal is
+        recorded without entries and receivers.
+        """
+        entries, unconfirmed = next(
+            (message[1:3] for message in self.unconfirmed_messages if message[0] == seal), (0.0, {})
         )
-        if unrun and self.push_times_ms:
+        if did_not_run and self.push_times_ms:
             self.push_times_ms.pop()
             self.unconfirmed_messages = deque(
-                one for one in self.unconfirmed_messages if one[0] != seal
+                message for message in self.unconfirmed_messages if message[0] != seal
             )
-        self.record_sent(seal, lines, missing, now)
-
-    def drop_before(self, sent_before: float, pushed_before: float, held: float = 0.0) -> None:
-        """Takes off the books what is that old, confirmed or not; what is held until now is new."""
-        if held and self.unconfirmed_messages and self.push_times_ms:
-            self.unconfirmed_messages[-1] = (*self.unconfirmed_messages[-1][:3], held)
-            self.push_times_ms[-1] = self.last_push_ms = held
-        while self.unconfirmed_messages and self.unconfirmed_messages[0][3] < sent_before:
+        self.record_sent(seal, entries, unconfirmed, now_ms)
+
+    def drop_before(
+        self, sent_before_ms: float, pushed_before_ms: float, held_until_ms: float = 0.0
+    ) -> None:
+        """Drop messages sent before a time, confirmed or not, and pushes up to a time.
+
+        If `held_until_ms` is not 0, the latest message had not left the controller by then, and
+        counts as sent and pushed at that time.
+        """
+        if held_until_ms and self.unconfirmed_messages and self.push_times_ms:
+            self.unconfirmed_messages[-1] = (*self.unconfirmed_messages[-1][:3], held_until_ms)
+            self.push_times_ms[-1] = self.last_push_ms = held_until_ms
+        while self.unconfirmed_messages and self.unconfirmed_messages[0][3] < sent_before_ms:
             self.unconfirmed_messages.popleft()
-        while self.push_times_ms and self.push_times_ms[0] <= pushed_before:
+        while self.push_times_ms and self.push_times_ms[0] <= pushed_before_ms:
             self.push_times_ms.popleft()
 
     def waiting_entries(self) -> float:
-        """Lines that may still wait: all that no confirmation covers."""
-        return sum(lines * len(missing) for _, lines, missing, _ in self.unconfirmed_messages)
+        """Return the entries that may still wait in the channel, summed over the receivers."""
+        return sum(
+            entries * len(unconfirmed) for _, entries, unconfirmed, _ in self.unconfirmed_messages
+        )
 
     def unconfirmed_receivers(self) -> int:
-        """How many receivers have not confirmed the last seal."""
+        """Return how many receivers have not confirmed the latest message."""
         return len(self.unconfirmed_messages[-1][2]) if self.unconfirmed_messages else 0
--- a/lifthinge/histogram.py
+++ b/lifthinge/histogram.py
@@ -1,10 +1,12 @@
-"""A small histogram of a few coarse bins; its owner gives the edges."""
+"""Histogram with a few coarse bins and exponential decay."""
 
 from bisect import bisect_right
 
 
 class Histogram:
-    """Counts by bin, halved when its owner says so.
+    """Counts by bin; `halve` lets old values fade.
+
+    The edges ascend; a value equal to an edge belongs to the bin that starts there.
 
     >>> outcomes = Histogram((0.5,))
     >>> outcomes.add(0.0, 6); outcomes.add(1.0, 2)
@@ -25,18 +27,18 @@
         self.bins[bisect_right(self.edges, value)] += count
 
     def halve(self) -> None:
-        """Let the past count half."""
+        """Halve all counts, so that later values weigh twice as much as those so far."""
         self.bins = [count / 2 for count in self.bins]
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Set all counts to 0."""
         self.bins = [0.0] * len(self.bins)
 
     def total(self) -> float:
-        """How much is counted."""
+        """Return the sum of the counts."""
         return sum(self.bins)
 
     def share_from(self, edge: float) -> float:
-        """Share of the count in bins that start at `edge` or above; 0 when nothing is counted."""
+        """Return the share of the counts in bins from `edge` upwards; 0 if there are no counts."""
         total = self.total()
         return sum(self.bins[bisect_right(self.edges, edge) :]) / total if total else 0.0
--- a/lifthinge/interface.py
+++ b/lifthinge/interface.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum
-from typing import Any, Union
+from typing import Any
 
 from lifthinge.histogram import Histogram
 from lifthinge.sliding_minimum import SlidingWindowMinimum
@@ -68,18 +68,18 @@
     """Settings of a site; they do not change while an instance runs."""
 
     methods: tuple[Method, ...]
-    sliced: bool
-    has_single_owner: bool
-    news_on_request: bool
-    uses_listed_sizes: bool
+    sliced: bool  # whether RPCs are routed by slices of a key space, or by one table
+    has_single_owner: bool  # whether only its owner serves a slice: no standby, no moves
+    news_on_request: bool  # whether the fleet list comes only after an order asked for it
+    uses_listed_sizes: bool  # False: every backend has size 1
     admission_mode: str  # "ratio", "rps" or "silent"
     report_interval_ms: float
     channel_entries_per_ms: float  # table entries that the channel sends per ms
     message_overhead_entries: float  # fixed cost of a message, in table entries
     max_pending_entries: float  # table entries that may wait in the channel
     max_pushes_per_window: int  # 0: no limit
-    push_window_ms: float
-    warm_up_ms: float
+    push_window_ms: float  # sliding window in which the pushes are counted
+    warm_up_ms: float  # how long a started backend takes until it bears its full share
     # The longest time of a message from the channel to a proxy, until it is in force there.
     max_transit_ms: float = 2_000.0
     proxy_count: int = 1  # proxies of the site; where it is sliced, each joins every instance
@@ -319,23 +319,23 @@
     method_criticality: dict[int, float]
 
 
-Event = Union[
-    OperatorOverrides,
-    FleetNews,
-    TimerDue,
-    ProbeResult,
-    PeerMessage,
-    ProxyJoined,
-    ProxyLeft,
-    AttemptReport,
-    ProxyLoadReport,
-    SliceHeatReport,
-    SliceLeaseChanged,
-    StoredEntry,
-    SealConfirmed,
-    ChannelState,
-    WithdrawalState,
-]
+Event = (
+    OperatorOverrides
+    | FleetNews
+    | TimerDue
+    | ProbeResult
+    | PeerMessage
+    | ProxyJoined
+    | ProxyLeft
+    | AttemptReport
+    | ProxyLoadReport
+    | SliceHeatReport
+    | SliceLeaseChanged
+    | StoredEntry
+    | SealConfirmed
+    | ChannelState
+    | WithdrawalState
+)
 
 
 # Orders
@@ -452,19 +452,19 @@
     backend: Backend
 
 
-Order = Union[
-    SetEntry,
-    ClearTable,
-    BindProxy,
-    SetWithdrawn,
-    SetAdmissionLevel,
-    Seal,
-    SetTimer,
-    Probe,
-    SendToPeers,
-    LogDecision,
-    FollowFleetList,
-    FetchFleetList,
-    RepeatCall,
-    ForgetBackend,
-]
+Order = (
+    SetEntry
+    | ClearTable
+    | BindProxy
+    | SetWithdrawn
+    | SetAdmissionLevel
+    | Seal
+    | SetTimer
+    | Probe
+    | SendToPeers
+    | LogDecision
+    | FollowFleetList
+    | FetchFleetList
+    | RepeatCall
+    | ForgetBackend
+)
--- a/lifthinge/outer_names.py
+++ b/lifthinge/outer_names.py
@@ -31,7 +31,7 @@
 
 
 def _pairs(text: str) -> dict[str, str]:
-    """Read `OUTER` and `OUTER=ATTRIBUTE`, separated by blanks, as a dictionary of attributes.
+    """Read `OUTER` and `OUTER=ATTRIBUTE`, separated by spaces, as a dictionary of attributes.
 
     >>> _pairs("zone took=latency_ms")
     {'zone': 'zone', 'took': 'latency_ms'}
@@ -41,7 +41,10 @@
 
 
 def _kind(kind: type, text: str) -> Kind:
-    """Return the entry of a dataclass, whose fields must be exactly those named, in order."""
+    """Return the entry of a dataclass.
+
+    Raise TypeError unless the text names exactly the fields of the dataclass, in their order.
+    """
     attributes = _pairs(text)
     if list(attributes.values()) != [field.name for field in fields(kind)]:
         raise TypeError(f"the outer names of {kind.__name__} do not match its fields")
@@ -113,7 +116,7 @@
     "Outcome": interface.ProbeOutcome,
     "Retry": interface.RetryMode,
 }
-# Types whose slots are written in their order, without names; they are restored without `__init__`.
+# Types whose slots are written as values in this order; they are restored without `__init__`.
 HOLDERS: dict[str, tuple[type, tuple[str, ...]]] = {
     "Histogram": (Histogram, Histogram.__slots__),
     "Lowest": (SlidingWindowMinimum, SlidingWindowMinimum.__slots__),
