--- a/lifthinge/agreed/commands.py
+++ b/lifthinge/agreed/commands.py
@@ -16,13 +16,13 @@
 
     session: int
     number: int
-    on: int
-    at: float  # ms of Unix time, as the proposer has it
+    base_version: int
+    proposed_at_ms: float  # ms of Unix time, as the proposer has it
     author: str
     body: bytes  # of the document, packed
 
 
-class Opened(msgspec.Struct, array_like=True, frozen=True, tag="Opened"):
+class SessionOpened(msgspec.Struct, array_like=True, frozen=True, tag="Opened"):
     session: int
 
 
@@ -34,13 +34,13 @@
     index: int
 
 
-class Outdated(msgspec.Struct, array_like=True, frozen=True, tag="Outdated"):
+class VersionConflict(msgspec.Struct, array_like=True, frozen=True, tag="Outdated"):
     """The change was made on another version than the one that stands: compare and set failed."""
 
     version: int
 
 
-class Unusable(msgspec.Struct, array_like=True, frozen=True, tag="Unusable"):
+class InvalidProposal(msgspec.Struct, array_like=True, frozen=True, tag="Unusable"):
     """The session is unknown or long past this number, or the document can't be used; nothing took effect."""
 
     why: str
@@ -52,14 +52,14 @@
     version: int
     term: int
     index: int
-    at: float
+    proposed_at_ms: float
     author: str
     body: bytes
     digest: bytes
 
 
 Command = Union[OpenSession, Propose]
-Answer = Union[Opened, Accepted, Outdated, Unusable]
+Answer = Union[SessionOpened, Accepted, VersionConflict, InvalidProposal]
 
 
 class SessionState(msgspec.Struct, array_like=True):
@@ -67,13 +67,13 @@
 
     number: int
     answer: Answer | None
-    used: int
+    last_used_index: int
 
 
-class AgreedState(msgspec.Struct, array_like=True):
+class SnapshotContent(msgspec.Struct, array_like=True):
     """All of the agreed state, as a snapshot holds it."""
 
-    form: int
+    format_version: int
     index: int
     term: int
     versions: list[Version]
@@ -82,16 +82,16 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _command_decoder = msgspec.msgpack.Decoder(Command)
-_state_decoder = msgspec.msgpack.Decoder(AgreedState)
+_state_decoder = msgspec.msgpack.Decoder(SnapshotContent)
 
 
-def pack(one: object) -> bytes:
+def encode(one: object) -> bytes:
     return _encoder.encode(one)
 
 
-def read_command(data: bytes) -> Command:
+def decode_command(data: bytes) -> Command:
     return _command_decoder.decode(data)
 
 
-def read_state(data: bytes) -> AgreedState:
+def decode_snapshot(data: bytes) -> SnapshotContent:
     return _state_decoder.decode(data)
--- a/lifthinge/agreed/document.py
+++ b/lifthinge/agreed/document.py
@@ -7,18 +7,18 @@
 >>> document = read_document(body); document.backends[0].reason, document.zones[0].share
 ('disk', 0.5)
 >>> read_document({"zones": [{"name": "a", "shar": 0.5}]})
-Fault(key='zones[0].shar', why='unknown; did you mean share?')
+SchemaProblem(key='zones[0].shar', why='unknown; did you mean share?')
 >>> read_document({"zones": [{"name": "a", "share": 3}, {"name": "a"}]})
-Fault(key='zones[0].share', why='Input should be less than or equal to 1')
+SchemaProblem(key='zones[0].share', why='Input should be less than or equal to 1')
 >>> read_document({"backends": [{"id": "x", "reason": "disk", "until": 9}, {"id": "x", "reason": "fan"}]})
-Fault(key='backends[1].id', why='x is named twice')
+SchemaProblem(key='backends[1].id', why='x is named twice')
 """
 
 from typing import Annotated, Any
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from lifthinge.schema import Fault, fault_of
+from lifthinge.schema import SchemaProblem, first_problem
 
 BACKENDS_MOST, ZONES_MOST, METHODS_MOST, REASON_MOST, NAME_MOST = 4_096, 256, 256, 400, 200
 DOCUMENT_MOST = 1 << 20  # bytes of one that is packed
@@ -57,17 +57,17 @@
     methods: Annotated[tuple[MethodWorth, ...], Field(max_length=METHODS_MOST)] = ()
 
 
-def read_document(body: Any) -> Document | Fault:
+def read_document(body: Any) -> Document | SchemaProblem:
     """A checked document out of untrusted data, or the first thing that is wrong with it."""
     try:
         document = Document.model_validate(body)
     except ValidationError as error:
-        return fault_of(error, Document)
+        return first_problem(error, Document)
     for part, key in (("backends", "id"), ("zones", "name"), ("methods", "name")):
         seen = set()
         for place, one in enumerate(getattr(document, part)):
             name = getattr(one, key)
             if name in seen:
-                return Fault(f"{part}[{place}].{key}", f"{name} is named twice")
+                return SchemaProblem(f"{part}[{place}].{key}", f"{name} is named twice")
             seen.add(name)
     return document
--- a/lifthinge/agreed/state.py
+++ b/lifthinge/agreed/state.py
@@ -1,18 +1,18 @@
 """The agreed state: what every member holds after the same entries, to the byte.
 
->>> state = Agreed()
->>> state.apply(1, 1, pack(OpenSession(b"n")))
-Opened(session=1)
+>>> state = DocumentStateMachine()
+>>> state.apply(1, 1, encode(OpenSession(b"n")))
+SessionOpened(session=1)
 >>> body = msgspec.msgpack.encode({"zones": [{"name": "a", "share": 0.5}]})
->>> state.apply(2, 1, pack(Propose(1, 1, 0, 10.0, "op", body)))
+>>> state.apply(2, 1, encode(Propose(1, 1, 0, 10.0, "op", body)))
 Accepted(version=1, term=1, index=2)
->>> state.apply(3, 1, pack(Propose(1, 1, 0, 10.0, "op", body)))     # sent again: the same answer, no effect
+>>> state.apply(3, 1, encode(Propose(1, 1, 0, 10.0, "op", body)))     # sent again: the same answer, no effect
 Accepted(version=1, term=1, index=2)
->>> state.apply(4, 1, pack(Propose(1, 2, 0, 10.0, "op", body)))
-Outdated(version=1)
->>> state.apply(5, 1, pack(Propose(9, 1, 1, 10.0, "op", body)))
-Unusable(why='unknown session')
->>> again = Agreed(); again.restore(state.export()); again.export() == state.export(), again.version
+>>> state.apply(4, 1, encode(Propose(1, 2, 0, 10.0, "op", body)))
+VersionConflict(version=1)
+>>> state.apply(5, 1, encode(Propose(9, 1, 1, 10.0, "op", body)))
+InvalidProposal(why='unknown session')
+>>> again = DocumentStateMachine(); again.restore(state.export()); again.export() == state.export(), again.version
 (True, 1)
 """
 
@@ -21,27 +21,27 @@
 
 from lifthinge.agreed.commands import (
     Accepted,
-    AgreedState,
     Answer,
-    Opened,
+    InvalidProposal,
     OpenSession,
-    Outdated,
     Propose,
+    SessionOpened,
     SessionState,
-    Unusable,
+    SnapshotContent,
     Version,
-    pack,
-    read_command,
-    read_state,
+    VersionConflict,
+    decode_command,
+    decode_snapshot,
+    encode,
 )
 
 FORM = 1
 SESSIONS_MOST = 4_096
 HISTORY_MOST, HISTORY_BYTES = 1_000, 8 << 20  # versions kept; the digest goes back to the first
-BODY_MOST = 1 << 20
+MAX_BODY_BYTES = 1 << 20
 
 
-class Agreed:
+class DocumentStateMachine:
     """Applies entries in their order; nothing here depends on a clock, on chance or on the order of a set."""
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
         """Of the whole history, trimmed or not."""
         return self.versions[-1].digest if self.versions else b""
 
-    def passed(self, index: int, term: int) -> None:
+    def skip(self, index: int, term: int) -> None:
         """An entry that is not for this state."""
         self.index, self.term = index, term
 
@@ -72,42 +72,45 @@
         assert index == self.index + 1, "an entry is missing or comes twice"
         self.index, self.term = index, term
         try:
-            command = read_command(data)
+            command = decode_command(data)
         except (msgspec.ValidationError, msgspec.DecodeError) as error:
-            return Unusable(str(error))
+            return InvalidProposal(str(error))
         if type(command) is OpenSession:
             return self._open(index)
         session = self.sessions.get(command.session)
         if session is None:
-            return Unusable("unknown session")
+            return InvalidProposal("unknown session")
         if command.number < session.number:
-            return Unusable("a later proposal of this session was answered")
+            return InvalidProposal("a later proposal of this session was answered")
         if command.number == session.number:
             return session.answer
         answer = self._propose(command)
-        session.number, session.answer, session.used = command.number, answer, index
+        session.number, session.answer, session.last_used_index = command.number, answer, index
         return answer
 
-    def _open(self, index: int) -> Opened:
+    def _open(self, index: int) -> SessionOpened:
         if len(self.sessions) >= SESSIONS_MOST:  # the one unused for longest: alike at every member
             del self.sessions[
-                min(self.sessions, key=lambda number: (self.sessions[number].used, number))
+                min(
+                    self.sessions,
+                    key=lambda number: (self.sessions[number].last_used_index, number),
+                )
             ]
         self.sessions[index] = SessionState(0, None, index)
-        return Opened(index)
+        return SessionOpened(index)
 
     def _propose(self, command: Propose) -> Answer:
-        if command.on != self.version:
-            return Outdated(self.version)
-        if len(command.body) > BODY_MOST:
-            return Unusable("the document is too large")
+        if command.base_version != self.version:
+            return VersionConflict(self.version)
+        if len(command.body) > MAX_BODY_BYTES:
+            return InvalidProposal("the document is too large")
         head = msgspec.msgpack.encode((self.version + 1, self.term, self.index, command.author))
         digest = blake3(self.digest + head + command.body).digest()
         new = Version(
             self.version + 1,
             self.term,
             self.index,
-            command.at,
+            command.proposed_at_ms,
             command.author,
             command.body,
             digest,
@@ -127,13 +130,13 @@
 
     def export(self) -> bytes:
         """All of it, for a snapshot."""
-        return pack(AgreedState(FORM, self.index, self.term, self.versions, self.sessions))
+        return encode(SnapshotContent(FORM, self.index, self.term, self.versions, self.sessions))
 
     def restore(self, data: bytes) -> None:
         """Takes all of it from a snapshot; `msgspec.ValidationError` if it is none of this form."""
-        state = read_state(data)
-        if state.form != FORM:
-            raise msgspec.ValidationError(f"a snapshot of form {state.form}")
+        state = decode_snapshot(data)
+        if state.format_version != FORM:
+            raise msgspec.ValidationError(f"a snapshot of form {state.format_version}")
         self.index, self.term, self.versions, self.sessions = (
             state.index,
             state.term,
@@ -151,11 +154,11 @@
     """
 
     def __init__(self) -> None:
-        self.held = (0, 0)
+        self.latest_admitted = (0, 0)
 
     def admit(self, term: int, index: int) -> bool:
         """Whether this configuration may be obeyed; it is then the one held."""
-        if (term, index) < self.held:
+        if (term, index) < self.latest_admitted:
             return False
-        self.held = term, index
+        self.latest_admitted = term, index
         return True
--- a/lifthinge/cli/agreed.py
+++ b/lifthinge/cli/agreed.py
@@ -8,7 +8,7 @@
 
 import click
 
-from lifthinge.agreed.document import Document, Fault, read_document
+from lifthinge.agreed.document import Document, SchemaProblem, read_document
 from lifthinge.cli.common import (
     FAILED,
     as_json,
@@ -18,7 +18,7 @@
     stop,
     with_client,
 )
-from lifthinge.operators import Unfit, line_of, read_hcl, read_text
+from lifthinge.operators import FileProblem, find_line, read_hcl, read_text
 
 WAIT = 15_000.0  # ms for a command
 
@@ -27,7 +27,7 @@
     """A document in HCL: blocks `backend "id" {}`, `zone "name" {}`, `method "name" {}`."""
     text = read_text(path)
     data = read_hcl(text, path) if isinstance(text, str) else text
-    if isinstance(data, Unfit):
+    if isinstance(data, FileProblem):
         stop(data)
     body: dict[str, list] = {}
     for block, part, key in (
@@ -40,12 +40,15 @@
             isinstance(one, dict) and all(isinstance(inner, dict) for inner in one.values())
             for one in labelled
         ):
-            stop(f'{path}:{line_of(text, block)}: {block}: write {block} "{key}" {{ … }}')
+            stop(f'{path}:{find_line(text, block)}: {block}: write {block} "{key}" {{ … }}')
         for one in labelled:
             for label, inner in one.items():
                 until = inner.get("until")
                 if block == "backend" and isinstance(until, str):
-                    inner = {**inner, "until": _time(until, path, line_of(text, f"{label}.until"))}
+                    inner = {
+                        **inner,
+                        "until": _time(until, path, find_line(text, f"{label}.until")),
+                    }
                 body.setdefault(part, []).append({key: label, **inner})
     if data:
         from lifthinge.closest_name import closest_name
@@ -53,12 +56,12 @@
         name = next(iter(data))
         like = closest_name(name, ("backend", "zone", "method"))
         stop(
-            f"{path}:{line_of(text, name)}: {name}: unknown"
+            f"{path}:{find_line(text, name)}: {name}: unknown"
             + (f"; did you mean {like}?" if like else "")
         )
     found = read_document(body)
-    if isinstance(found, Fault):
-        stop(f"{path}:{line_of(text, found.key.split('.')[-1])}: {found.key}: {found.why}")
+    if isinstance(found, SchemaProblem):
+        stop(f"{path}:{find_line(text, found.key.split('.')[-1])}: {found.key}: {found.why}")
     return found
 
 
@@ -98,7 +101,7 @@
 @as_json
 def propose(document: str, on: int, author: str | None, path: str, as_json: bool) -> None:
     """Proposes a document in place of a version: refused if another stands by now."""
-    from lifthinge.agreed.commands import Accepted, Outdated
+    from lifthinge.agreed.commands import Accepted, VersionConflict
 
     body = body_of(need_document(document))
 
@@ -109,7 +112,7 @@
 
     reply = with_client(path, use, WAIT)
     refuse_sorry(reply)
-    if isinstance(reply, Outdated):
+    if isinstance(reply, VersionConflict):
         stop(f"version {reply.version} stands, not {on}: look at it, then propose on it", FAILED)
     if not isinstance(reply, Accepted):
         stop(reply.why, FAILED)
@@ -145,7 +148,7 @@
             "term": reply.term,
             "index": reply.index,
             "author": reply.author,
-            "at": reply.at,
+            "at": reply.proposed_at_ms,
             "document": json.loads("\n".join(lines)),
         },
         as_json,
@@ -176,7 +179,7 @@
             one.version,
             one.term,
             one.index,
-            datetime.fromtimestamp(one.at / 1000, UTC).isoformat(timespec="seconds"),
+            datetime.fromtimestamp(one.proposed_at_ms / 1000, UTC).isoformat(timespec="seconds"),
             one.author,
             one.digest.hex()[:16],
         )
--- a/lifthinge/cli/common.py
+++ b/lifthinge/cli/common.py
@@ -9,7 +9,7 @@
 
 import click
 
-from lifthinge.operators import Operators, Unfit, load_operators
+from lifthinge.operators import FileProblem, Operators, load_operators
 
 DONE, FAILED, UNUSABLE = 0, 1, 2
 T = TypeVar("T")
@@ -33,7 +33,7 @@
 def need(path: str) -> Operators:
     """The operators' file, or the end of the command."""
     found = load_operators(path)
-    if isinstance(found, Unfit):
+    if isinstance(found, FileProblem):
         stop(found)
     return found
 
--- a/lifthinge/cli/members.py
+++ b/lifthinge/cli/members.py
@@ -98,10 +98,10 @@
     """Adds a member, started beforehand with an empty `start_with`; it votes once it has caught up."""
     from lifthinge.cli.common import stop
     from lifthinge.cluster import client_messages
-    from lifthinge.operators import socket_address
+    from lifthinge.operators import check_address
 
     try:
-        socket_address(address)
+        check_address(address)
     except ValueError as error:
         stop(f"{address}: {error}")
     _ask(
--- a/lifthinge/cluster/client.py
+++ b/lifthinge/cluster/client.py
@@ -5,7 +5,13 @@
 
 import msgspec
 
-from lifthinge.agreed.commands import Accepted, Opened, Outdated, Propose, Unusable
+from lifthinge.agreed.commands import (
+    Accepted,
+    InvalidProposal,
+    Propose,
+    SessionOpened,
+    VersionConflict,
+)
 from lifthinge.cluster import client_messages
 from lifthinge.cluster.client_messages import Rejection
 from lifthinge.cluster.keys import KeyFile
@@ -155,13 +161,13 @@
 
     async def propose(
         self, document: dict[str, Any], on: int, author: str, at: float, until: float
-    ) -> Accepted | Outdated | Unusable | Rejection | None:
+    ) -> Accepted | VersionConflict | InvalidProposal | Rejection | None:
         """Proposes a document in place of version `on`; takes effect once, however often it is sent."""
         if not self.session:
             opened = await self.ask(
                 client_messages.OpenSessionRequest(self.runtime.rng.randbytes(8)), until
             )
-            if not isinstance(opened, Opened):
+            if not isinstance(opened, SessionOpened):
                 return opened
             self.session, self.number = opened.session, 0
         self.number += 1
--- a/lifthinge/cluster/client_messages.py
+++ b/lifthinge/cluster/client_messages.py
@@ -4,7 +4,14 @@
 
 import msgspec
 
-from lifthinge.agreed.commands import Accepted, Opened, Outdated, Propose, Unusable, Version
+from lifthinge.agreed.commands import (
+    Accepted,
+    InvalidProposal,
+    Propose,
+    SessionOpened,
+    Version,
+    VersionConflict,
+)
 
 
 class OpenSessionRequest(msgspec.Struct, array_like=True, frozen=True, tag="Begin"):
@@ -110,7 +117,15 @@
 
 
 Reply = Union[
-    Opened, Accepted, Outdated, Unusable, Rejection, VersionReply, VersionList, Done, StatusReport
+    SessionOpened,
+    Accepted,
+    VersionConflict,
+    InvalidProposal,
+    Rejection,
+    VersionReply,
+    VersionList,
+    Done,
+    StatusReport,
 ]
 
 _asks, _replies = (
@@ -145,7 +160,7 @@
         version.version,
         version.term,
         version.index,
-        version.at,
+        version.proposed_at_ms,
         version.author,
         version.body if body else b"",
         version.digest,
--- a/lifthinge/cluster/follower.py
+++ b/lifthinge/cluster/follower.py
@@ -57,14 +57,16 @@
                 self._call.close()
             if self.current:
                 self.runtime.rate_limited_log.warning(
-                    "agreed_lost", member=names[place % len(names)], version_held=self.fence.held[1]
+                    "agreed_lost",
+                    member=names[place % len(names)],
+                    version_held=self.fence.latest_admitted[1],
                 )
             self.current = False
             await self.runtime.pause(self.runtime.rng.uniform(*ASIDE))
 
     async def _follow(self, link: MemberConnection) -> None:
         link.pushed_replies = asyncio.Queue(TOLD_MOST)
-        reply = await link.ask(client_messages.Subscribe(self.fence.held), ANSWER_WAIT)
+        reply = await link.ask(client_messages.Subscribe(self.fence.latest_admitted), ANSWER_WAIT)
         if not isinstance(reply, client_messages.VersionReply):
             self.runtime.counters.add("agreed.turned_away")
             return
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from lifthinge.agreed.commands import OpenSession, Propose
-from lifthinge.agreed.commands import pack as pack_command
-from lifthinge.agreed.document import Fault, read_document
-from lifthinge.agreed.state import BODY_MOST, Agreed
+from lifthinge.agreed.commands import encode as pack_command
+from lifthinge.agreed.document import SchemaProblem, read_document
+from lifthinge.agreed.state import MAX_BODY_BYTES, DocumentStateMachine
 from lifthinge.cluster import client_messages
 from lifthinge.cluster.client_messages import Rejection
 from lifthinge.cluster.disk import Committer, Disk
@@ -77,7 +77,7 @@
             disk.stored_state.persistent_state(),
             settings.options,
         )
-        self.state = Agreed()
+        self.state = DocumentStateMachine()
         self.committer = Committer(disk, self._durable, lambda error: self._fail(f"disk: {error}"))
         self.ready = False  # it has applied what was committed when it first asked
         self.in_touch = True
@@ -230,7 +230,7 @@
             if one.data:
                 self.state.restore(one.data)
             else:
-                self.state.passed(one.index, one.term)
+                self.state.skip(one.index, one.term)
             for index in [index for index in self._proposed if index <= one.index]:
                 for ask in self._proposed.pop(index):
                     self._answer(
@@ -240,7 +240,7 @@
         if one.kind is EntryKind.COMMAND:
             answer = self.state.apply(one.index, one.term, one.data)
         else:
-            self.state.passed(one.index, one.term)
+            self.state.skip(one.index, one.term)
             answer = client_messages.Done(one.index)
         for ask in self._proposed.pop(one.index, ()):
             self._answer(
@@ -511,12 +511,12 @@
         try:
             found = (
                 read_document(msgspec.msgpack.decode(what.body))
-                if len(what.body) <= BODY_MOST
-                else Fault("document", "too large")
+                if len(what.body) <= MAX_BODY_BYTES
+                else SchemaProblem("document", "too large")
             )
         except (msgspec.DecodeError, RecursionError) as error:
-            found = Fault("document", str(error))
-        if isinstance(found, Fault):
+            found = SchemaProblem("document", str(error))
+        if isinstance(found, SchemaProblem):
             self._answer(ask, Rejection(f"{found.key}: {found.why}", **self._leader()))
         else:
             self._settle(ask, self.raft.propose(pack_command(what), self.runtime.now))
--- a/lifthinge/lab/faults.py
+++ b/lifthinge/lab/faults.py
@@ -3,7 +3,7 @@
 Kept as a command (`lifthinge drill raft-model --fault NAME`), so that the checkers are known to be able to fail.
 """
 
-from lifthinge.agreed.state import Agreed, Fence
+from lifthinge.agreed.state import DocumentStateMachine, Fence
 from lifthinge.raft.messages import Entry
 from lifthinge.raft.node import Raft, Refusal
 
@@ -51,7 +51,7 @@
         return True
 
 
-class SessionsNotInSnapshot(Agreed):
+class SessionsNotInSnapshot(DocumentStateMachine):
     """Leaves the sessions out of the snapshot: a proposal sent again is not known there."""
 
     def restore(self, data: bytes) -> None:
@@ -63,7 +63,7 @@
     """Obeys whatever configuration comes."""
 
     def admit(self, term: int, index: int) -> bool:
-        self.held = term, index
+        self.latest_admitted = term, index
         return True
 
 
--- a/lifthinge/lab/raftdrill.py
+++ b/lifthinge/lab/raftdrill.py
@@ -19,7 +19,7 @@
 from random import Random
 from typing import Any
 
-from lifthinge.agreed.commands import Accepted, Outdated
+from lifthinge.agreed.commands import Accepted, VersionConflict
 from lifthinge.agreed.state import Fence
 from lifthinge.cluster import client_messages
 from lifthinge.cluster.client import ClusterClient, MemberConnection, connect_member
@@ -173,7 +173,7 @@
                 on = reply.version
                 self.history.append(Seen(asked, answered, reply.version, True))
                 self.acknowledged[reply.version] = mark.encode()
-            elif isinstance(reply, Outdated):
+            elif isinstance(reply, VersionConflict):
                 on = reply.version
                 self.history.append(Seen(asked, answered, reply.version, False))
             else:
@@ -209,7 +209,7 @@
                 await self.runtime.pause(100.0)
                 continue
             link.pushed_replies = asyncio.Queue(1_000)
-            reply = await link.ask(client_messages.Subscribe(fence.held), 1_000.0)
+            reply = await link.ask(client_messages.Subscribe(fence.latest_admitted), 1_000.0)
             until = self.runtime.now + self.dice.uniform(500, 3_000)
             while isinstance(reply, client_messages.VersionReply) and not self.over:
                 if reply.version and fence.admit(reply.term, reply.index):
--- a/lifthinge/lab/raftworld.py
+++ b/lifthinge/lab/raftworld.py
@@ -10,8 +10,16 @@
 
 import msgspec
 
-from lifthinge.agreed.commands import Accepted, Answer, Opened, OpenSession, Propose, Unusable, pack
-from lifthinge.agreed.state import Agreed, Fence
+from lifthinge.agreed.commands import (
+    Accepted,
+    Answer,
+    InvalidProposal,
+    OpenSession,
+    Propose,
+    SessionOpened,
+    encode,
+)
+from lifthinge.agreed.state import DocumentStateMachine, Fence
 from lifthinge.lab.faults import FAULTS
 from lifthinge.raft.messages import (
     AppendEntries,
@@ -51,7 +59,7 @@
     name: str
     image: StoredState
     raft: Raft | None = None
-    state: Agreed = field(default_factory=Agreed)
+    state: DocumentStateMachine = field(default_factory=DocumentStateMachine)
     unsynced: list[Write] = field(default_factory=list)
     reads: dict[object, int] = field(default_factory=dict)  # answered, waiting to be applied: index
     led: tuple[int, list] | None = None
@@ -73,7 +81,9 @@
     def __init__(self, seed: int, size: int = 3, fault: str = "", learners: int = 0) -> None:
         kind = FAULTS.get(fault)
         self.raft_kind = kind if kind and issubclass(kind, Raft) else Raft
-        self.state_kind = kind if kind and issubclass(kind, Agreed) else Agreed
+        self.state_kind = (
+            kind if kind and issubclass(kind, DocumentStateMachine) else DocumentStateMachine
+        )
         self.dice, self.now = Random(seed), 0.0
         roster = Configuration(tuple(Member(name, name) for name in NAMES[:size]))
         self.hosts: dict[str, Host] = {}
@@ -181,7 +191,7 @@
     def open_session(self, name: str) -> None:
         host = self.hosts[name]
         if host.raft is not None:
-            host.raft.propose(pack(OpenSession(self.dice.randbytes(4))), self.now)
+            host.raft.propose(encode(OpenSession(self.dice.randbytes(4))), self.now)
             self._take(host)
 
     def propose(self, name: str) -> None:
@@ -199,7 +209,7 @@
             msgspec.msgpack.encode({"n": self.number}),
         )
         request = Request(command.session, command.number, command)
-        if not isinstance(host.raft.propose(pack(command), self.now), Refusal):
+        if not isinstance(host.raft.propose(encode(command), self.now), Refusal):
             self.requests.append(request)
         self._take(host)
 
@@ -208,7 +218,7 @@
         host = self.hosts[name]
         if host.raft is not None and self.requests:
             host.raft.propose(
-                pack(self.requests[-1 - self.dice.randrange(min(len(self.requests), 2))].command),
+                encode(self.requests[-1 - self.dice.randrange(min(len(self.requests), 2))].command),
                 self.now,
             )
             self._take(host)
@@ -381,24 +391,24 @@
 
     def _applied(self, host: Host, one) -> None:
         if isinstance(one, Snapshot):
-            host.state.restore(one.data) if one.data else host.state.passed(one.index, one.term)
+            host.state.restore(one.data) if one.data else host.state.skip(one.index, one.term)
             self.seen["snapshots"] += 1
             return
         known, term = self.committed.setdefault(one.index, (one, host.raft.term))
         if known != one:
             raise Violation(f"entry {one.index} was applied in two forms")
         if one.kind is not EntryKind.COMMAND:
-            host.state.passed(one.index, one.term)
+            host.state.skip(one.index, one.term)
             return
         answer = host.state.apply(one.index, one.term, one.data)
-        if isinstance(answer, Opened):
+        if isinstance(answer, SessionOpened):
             if answer.session not in self.sessions:
                 self.sessions.append(answer.session)
             return
         command = msgspec.msgpack.decode(one.data, type=Propose)
         key = command.session, command.number
         former = self.answers.setdefault(key, answer)
-        later = isinstance(answer, Unusable) and answer.why.startswith("a later")
+        later = isinstance(answer, InvalidProposal) and answer.why.startswith("a later")
         if former != answer and not later:
             raise Violation(f"proposal {key} was answered {former}, then {answer}")
         if host.raft.role is Role.LEADER and isinstance(answer, Accepted):
--- a/lifthinge/operators.py
+++ b/lifthinge/operators.py
@@ -4,12 +4,12 @@
 >>> read_operators(text, "x.hcl").log.form
 'json'
 >>> read_operators('log { from = "json" }', "x.hcl")
-Unfit(file='x.hcl', line=1, key='log.from', why='unknown; did you mean form?')
+FileProblem(file='x.hcl', line=1, key='log.from', why='unknown; did you mean form?')
 >>> read_operators('log {', "x.hcl").line
 1
 >>> text = 'agreed {\\n cluster = "c"\\n key_file = "k"\\n members = { a = "here" }\\n}'
 >>> read_operators(text, "x.hcl")
-Unfit(file='x.hcl', line=4, key='agreed.members', why='not an address of the form 127.0.0.1:7101')
+FileProblem(file='x.hcl', line=4, key='agreed.members', why='not an address of the form 127.0.0.1:7101')
 """
 
 from dataclasses import dataclass
@@ -20,14 +20,14 @@
 from lark.exceptions import UnexpectedInput
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, ValidationError, field_validator
 
-from lifthinge.schema import fault_of
+from lifthinge.schema import first_problem
 
 FILE_MOST = 4 << 20
 Name = Annotated[str, Field(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9._-]+$")]
 
 
 @dataclass(frozen=True, slots=True)
-class Unfit:
+class FileProblem:
     """Why a file can't be used: where, which key, and what about it."""
 
     file: str
@@ -39,7 +39,7 @@
         return f"{self.file}:{self.line}: {self.key}: {self.why}"
 
 
-def socket_address(text: str) -> str:
+def check_address(text: str) -> str:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 1 << 16:
         raise ValueError("not an address of the form 127.0.0.1:7101")
@@ -53,11 +53,11 @@
 
 def _addresses(members: dict[str, str]) -> dict[str, str]:
     for text in members.values():
-        socket_address(text)
+        check_address(text)
     return members
 
 
-Address = Annotated[str, AfterValidator(socket_address)]
+Address = Annotated[str, AfterValidator(check_address)]
 Members = Annotated[dict[str, str], AfterValidator(_addresses)]  # addresses by name
 
 
@@ -126,20 +126,20 @@
 _BLOCKS = ("log", "member", "agreed", "capture")
 
 
-def read_hcl(text: str, file: str) -> dict[str, Any] | Unfit:
+def read_hcl(text: str, file: str) -> dict[str, Any] | FileProblem:
     """The data of a file; blocks are lists."""
     try:
         return _plain(hcl2.loads(text if text.endswith("\n") else text + "\n"))
     except UnexpectedInput as error:
         line, last = getattr(error, "line", 0), len(text.splitlines())
-        return Unfit(
+        return FileProblem(
             file,
             min(line, last) if isinstance(line, int) and line > 0 else last,
             "syntax",
             "this is no HCL",
         )
     except Exception as error:  # the library raises what its parser raises
-        return Unfit(file, 1, "syntax", f"this is no HCL: {type(error).__name__}")
+        return FileProblem(file, 1, "syntax", f"this is no HCL: {type(error).__name__}")
 
 
 def _plain(data: Any) -> Any:
@@ -155,7 +155,7 @@
     return data
 
 
-def line_of(text: str, key: str) -> int:
+def find_line(text: str, key: str) -> int:
     """Where the last name of a key stands: the first such line after those of the names before it."""
     at = 0
     lines = text.splitlines()
@@ -179,36 +179,38 @@
     return at + 1
 
 
-def read_operators(text: str, file: str) -> Operators | Unfit:
+def read_operators(text: str, file: str) -> Operators | FileProblem:
     """A checked file, or the first thing that is wrong with it."""
     data = read_hcl(text, file)
-    if isinstance(data, Unfit):
+    if isinstance(data, FileProblem):
         return data
     for name in _BLOCKS:
         if isinstance(data.get(name), list):
             if len(data[name]) != 1:
-                return Unfit(file, line_of(text, name), name, "more than one such block")
+                return FileProblem(file, find_line(text, name), name, "more than one such block")
             data[name] = data[name][0]
     try:
         return Operators.model_validate(data)
     except ValidationError as error:
-        fault = fault_of(error, Operators)
-        return Unfit(
-            file, line_of(text, fault.key), fault.key, fault.why.removeprefix("Value error, ")
+        fault = first_problem(error, Operators)
+        return FileProblem(
+            file, find_line(text, fault.key), fault.key, fault.why.removeprefix("Value error, ")
         )
 
 
-def load_operators(path: str) -> Operators | Unfit:
+def load_operators(path: str) -> Operators | FileProblem:
     found = read_text(path)
-    return found if isinstance(found, Unfit) else read_operators(found, path)
+    return found if isinstance(found, FileProblem) else read_operators(found, path)
 
 
-def read_text(path: str) -> str | Unfit:
+def read_text(path: str) -> str | FileProblem:
     """A file's text, if it is one of a sane size."""
     try:
         data = Path(path).read_bytes()
-        return data.decode() if len(data) <= FILE_MOST else Unfit(path, 0, "file", "too large")
+        return (
+            data.decode() if len(data) <= FILE_MOST else FileProblem(path, 0, "file", "too large")
+        )
     except OSError as error:
-        return Unfit(path, 0, "file", error.strerror or str(error))
+        return FileProblem(path, 0, "file", error.strerror or str(error))
     except UnicodeDecodeError:
-        return Unfit(path, 0, "file", "no UTF-8 text")
+        return FileProblem(path, 0, "file", "no UTF-8 text")
--- a/lifthinge/schema.py
+++ b/lifthinge/schema.py
@@ -7,14 +7,14 @@
 from lifthinge.closest_name import closest_name
 
 
-class Fault(NamedTuple):
+class SchemaProblem(NamedTuple):
     """What is wrong, and where."""
 
     key: str
     why: str
 
 
-def fault_of(error: ValidationError, model: type[BaseModel]) -> Fault:
+def first_problem(error: ValidationError, model: type[BaseModel]) -> SchemaProblem:
     """The first fault that the schema found, with the nearest name for one that it does not know."""
     found = error.errors(include_url=False)
     first = next(
@@ -24,14 +24,14 @@
         f"[{part}]" if isinstance(part, int) else f".{part}" for part in first["loc"]
     ).lstrip(".")
     if first["type"] != "extra_forbidden":
-        return Fault(key or "document", first["msg"])
+        return SchemaProblem(key or "document", first["msg"])
     known, fields = model, model.model_fields
     for part in first["loc"][:-1]:
         if isinstance(part, str) and part in fields:
             known = _model_in(fields[part].annotation)
             fields = known.model_fields if known else {}
     like = closest_name(str(first["loc"][-1]), fields)
-    return Fault(key, f"unknown; did you mean {like}?" if like else "unknown")
+    return SchemaProblem(key, f"unknown; did you mean {like}?" if like else "unknown")
 
 
 def _model_in(annotation: Any) -> type[BaseModel] | None:
--- a/lifthinge/service/agreed_source.py
+++ b/lifthinge/service/agreed_source.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lifthinge.agreed.document import Document, Fault, read_document
+from lifthinge.agreed.document import Document, SchemaProblem, read_document
 from lifthinge.cluster import client_messages
 from lifthinge.cluster.follower import DocumentFollower
 from lifthinge.cluster.keys import KeyFile, KeyFileProblem, read_keys
@@ -40,7 +40,7 @@
 
     def _told(self, one: client_messages.VersionReply) -> None:
         found = read_document(msgspec.msgpack.decode(one.body))
-        if isinstance(found, Fault):
+        if isinstance(found, SchemaProblem):
             self.runtime.rate_limited_log.warning(
                 "agreed_unusable", version=one.version, key=found.key, why=found.why
             )
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from lifthinge.agreed import commands
-from lifthinge.agreed.commands import Accepted, Opened, Outdated, Propose
+from lifthinge.agreed.commands import Accepted, Propose, SessionOpened, VersionConflict
 from lifthinge.cluster import client_messages
 from lifthinge.cluster.client import ClusterClient
 from lifthinge.cluster.disk import FolderIdentity, open_disk
@@ -236,7 +236,7 @@
         again = await client.ask(Propose(client.session, client.number, 0, 1.0, "op", body), until)
         assert again == first, again
         late = await client.propose({}, 0, "op", 1.0, until)
-        assert late == Outdated(1), late
+        assert late == VersionConflict(1), late
         bad = await client.propose({"zones": [{"nam": "a"}]}, 1, "op", 1.0, until)
         assert isinstance(bad, client_messages.Rejection) and "did you mean name" in bad.why, bad
         shown = await client.ask(client_messages.GetVersion(), until)
@@ -328,7 +328,7 @@
         opened = await client.ask(
             client_messages.OpenSessionRequest(b"n"), trio.runtime.now + 10_000.0
         )
-        assert isinstance(opened, Opened), opened
+        assert isinstance(opened, SessionOpened), opened
         server = trio.servers["a"]
         server.raft.options = RaftOptions(
             election_timeout_ms=100.0, heartbeat_interval_ms=20.0, max_pending_entries=0
@@ -365,10 +365,10 @@
         "ReadReply": raft_messages.ReadIndexReply(1, 2, 3),
         "OpenSession": commands.OpenSession(b"n"),
         "Propose": commands.Propose(1, 1, 0, 0.0, "op", b""),
-        "Opened": commands.Opened(1),
+        "Opened": commands.SessionOpened(1),
         "Accepted": commands.Accepted(1, 1, 1),
-        "Outdated": commands.Outdated(1),
-        "Unusable": commands.Unusable("why"),
+        "Outdated": commands.VersionConflict(1),
+        "Unusable": commands.InvalidProposal("why"),
         "Begin": client_messages.OpenSessionRequest(b"n"),
         "Show": client_messages.GetVersion(),
         "History": client_messages.ListVersions(),
