--- a/lifthinge/cluster/client.py
+++ b/lifthinge/cluster/client.py
@@ -57,7 +57,7 @@
         if not self.link.send(client_messages.encode(number, what)):
             self._waiting.pop(number, None)
             return None
-        deadline = self.runtime.deadlines.set(
+        deadline = self.runtime.deadlines.schedule(
             wait, lambda: future.done() or future.set_result(None)
         )
         try:
--- a/lifthinge/cluster/link.py
+++ b/lifthinge/cluster/link.py
@@ -61,7 +61,7 @@
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
-        self._deadline = self.runtime.deadlines.set(HELLO_WAIT, self._late)
+        self._deadline = self.runtime.deadlines.schedule(HELLO_WAIT, self._late)
         if self.dialed_peer:
             self._say_hello(self.role, self.expected_peer)
 
@@ -75,7 +75,7 @@
             self.runtime.rate_limited_log.warning("link_silent", peer=self.peer_hello.sender)
             self.abort()
         else:
-            self._deadline = self.runtime.deadlines.set(SILENT_MOST / 2, self._late)
+            self._deadline = self.runtime.deadlines.schedule(SILENT_MOST / 2, self._late)
 
     def _say_hello(self, role: str, receiver: str) -> None:
         keys = self.keys(role)
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -165,11 +165,11 @@
         """A time that has moved on is not set anew each time: it is looked at once the former one is due."""
         due = self.raft.next_tick_at
         if self._tick is not None and self._tick.is_pending:
-            if self._tick.at <= due:
+            if self._tick.due_at_ms <= due:
                 return
             self._tick.cancel()
         if due < NEVER:
-            self._tick = self.runtime.deadlines.set(due - self.runtime.now, self._ticked)
+            self._tick = self.runtime.deadlines.schedule(due - self.runtime.now, self._ticked)
 
     def _ticked(self) -> None:
         if self._over:
@@ -185,7 +185,9 @@
             if one.name != self.settings.name:
                 self._reach(one.name)
         self._note_touch()
-        self.runtime.deadlines.set(self.settings.options.election_timeout_ms, self._look_around)
+        self.runtime.deadlines.schedule(
+            self.settings.options.election_timeout_ms, self._look_around
+        )
 
     def _durable(self, number: int) -> None:
         if not self._over:
@@ -306,9 +308,9 @@
             self.raft.read("catch-up", self.runtime.now), Refusal
         ):
             self._catching_up = True
-            self.runtime.deadlines.set(READ_WAIT, self._catch_up_late)
+            self.runtime.deadlines.schedule(READ_WAIT, self._catch_up_late)
             self._wake()
-        self.runtime.deadlines.set(CATCH_UP_EVERY, self._catch_up)
+        self.runtime.deadlines.schedule(CATCH_UP_EVERY, self._catch_up)
 
     def _catch_up_late(self) -> None:
         if self._catching_up:
@@ -481,7 +483,7 @@
             return
         self._each[link] = self._each.get(link, 0) + 1
         self._asks += 1
-        ask.deadline = self.runtime.deadlines.set(
+        ask.deadline = self.runtime.deadlines.schedule(
             READ_WAIT
             if type(what) in (client_messages.GetVersion, client_messages.ListVersions)
             else ASK_WAIT,
--- a/lifthinge/memory/attempts.py
+++ b/lifthinge/memory/attempts.py
@@ -28,7 +28,7 @@
 class Failure:
     """An attempt that brought no answer; it may have been acted on if it was sent wholly."""
 
-    reach: SendProgress
+    progress: SendProgress
     cause: FailureCause
     detail: str = ""
 
@@ -38,4 +38,4 @@
         >>> [Failure(reach, FailureCause.BROKEN).may_have_run for reach in SendProgress]
         [False, False, True, True]
         """
-        return self.reach in (SendProgress.FULLY_SENT, SendProgress.ANSWERED)
+        return self.progress in (SendProgress.FULLY_SENT, SendProgress.ANSWERED)
--- a/lifthinge/memory/deadlines.py
+++ b/lifthinge/memory/deadlines.py
@@ -4,7 +4,7 @@
 >>> clock, fired, timers = SimpleNamespace(now=0.0), [], []
 >>> table = DeadlineTable(lambda: clock.now, lambda delay, run: timers.append(delay) or SimpleNamespace(
 ...     cancel=lambda: None))
->>> late, soon = table.set(50.0, lambda: fired.append("late")), table.set(20.0, lambda: fired.append("soon"))
+>>> late, soon = table.schedule(50.0, lambda: fired.append("late")), table.schedule(20.0, lambda: fired.append("soon"))
 >>> timers, len(table)
 ([50.0, 20.0], 2)
 >>> clock.now = 30.0
@@ -25,12 +25,12 @@
 class Deadline:
     """One deadline: set, then either run or cancelled."""
 
-    __slots__ = ("at", "order", "action", "table")
+    __slots__ = ("due_at_ms", "order", "action", "table")
 
     def __init__(
-        self, at: float, order: int, action: Callable[[], Any], table: "DeadlineTable"
+        self, due_at_ms: float, order: int, action: Callable[[], Any], table: "DeadlineTable"
     ) -> None:
-        self.at, self.order, self.table = at, order, table
+        self.due_at_ms, self.order, self.table = due_at_ms, order, table
         self.action: Callable[[], Any] | None = action
 
     @property
@@ -43,16 +43,16 @@
             self.table.cancelled()
 
     def __lt__(self, other: "Deadline") -> bool:
-        return (self.at, self.order) < (other.at, other.order)
+        return (self.due_at_ms, self.order) < (other.due_at_ms, other.order)
 
 
 class DeadlineTable:
     """`now` gives milliseconds; `schedule(delay, run)` arms the one timer and gives what cancels it."""
 
     def __init__(
-        self, now: Callable[[], float], schedule: Callable[[float, Callable[[], None]], Any]
+        self, now: Callable[[], float], start_timer: Callable[[float, Callable[[], None]], Any]
     ) -> None:
-        self.now, self._schedule = now, schedule
+        self.now, self._start_timer = now, start_timer
         self._heap: list[Deadline] = []
         self._dead = self._count = 0
         self._timer: Any = None
@@ -62,7 +62,7 @@
     def __len__(self) -> int:
         return len(self._heap) - self._dead
 
-    def set(self, delay: float, action: Callable[[], Any]) -> Deadline:
+    def schedule(self, delay: float, action: Callable[[], Any]) -> Deadline:
         self._count += 1
         deadline = Deadline(self.now() + max(delay, 0.0), self._count, action, self)
         heapq.heappush(self._heap, deadline)
@@ -80,10 +80,10 @@
     def run_due(self) -> None:
         """Runs what is due; an action that fails takes nothing else with it."""
         self._armed_for, now = float("inf"), self.now()
-        while self._heap and self._heap[0].at <= now:
+        while self._heap and self._heap[0].due_at_ms <= now:
             deadline = heapq.heappop(self._heap)
             self.max_lateness_ms = max(
-                self.max_lateness_ms, now - deadline.at if deadline.is_pending else 0.0
+                self.max_lateness_ms, now - deadline.due_at_ms if deadline.is_pending else 0.0
             )
             action, deadline.action = deadline.action, None
             if action is None:
@@ -96,8 +96,8 @@
         self._arm()
 
     def _arm(self) -> None:
-        if self._heap and self._heap[0].at < self._armed_for:
+        if self._heap and self._heap[0].due_at_ms < self._armed_for:
             if self._timer is not None:
                 self._timer.cancel()
-            self._armed_for = self._heap[0].at
-            self._timer = self._schedule(max(self._armed_for - self.now(), 0.0), self.run_due)
+            self._armed_for = self._heap[0].due_at_ms
+            self._timer = self._start_timer(max(self._armed_for - self.now(), 0.0), self.run_due)
--- a/lifthinge/memory/registry.py
+++ b/lifthinge/memory/registry.py
@@ -1,11 +1,11 @@
 """The world by its ids: backends, slices and proxies, each one object for as long as anything names it.
 
 >>> registry = Registry()
->>> one = registry.backend("s-a"); one.is_withdrawn = True; registry.forget(one); registry.backends
+>>> one = registry.get_or_add_backend("s-a"); one.is_withdrawn = True; registry.forget(one); registry.backends
 {}
->>> registry.backend("s-a") is one, registry.backend("s-a").is_withdrawn, registry.backend("s-b").is_withdrawn
+>>> registry.get_or_add_backend("s-a") is one, registry.get_or_add_backend("s-a").is_withdrawn, registry.get_or_add_backend("s-b").is_withdrawn
 (False, True, False)
->>> registry.listings[registry.backend("s-b")] = None; registry.forget(registry.backend("s-b")); list(registry.backends)
+>>> registry.listings[registry.get_or_add_backend("s-b")] = None; registry.forget(registry.get_or_add_backend("s-b")); list(registry.backends)
 ['s-a', 's-b']
 """
 
@@ -33,7 +33,7 @@
     joined_proxies: dict[Proxy, bool] = field(default_factory=dict)  # whether each came fresh
     withdrawn: dict[str, None] = field(default_factory=dict)  # ids forgotten, oldest first
 
-    def backend(self, name: str) -> Backend | None:
+    def get_or_add_backend(self, name: str) -> Backend | None:
         """The backend of this id; None if it is new and there is no room."""
         if name not in self.backends and len(self.backends) >= BACKENDS_MOST:
             return None
@@ -53,8 +53,8 @@
         if len(self.withdrawn) > WITHDRAWN_MOST:
             del self.withdrawn[next(iter(self.withdrawn))]
 
-    def slice(self, number: int) -> Slice:
+    def get_or_add_slice(self, number: int) -> Slice:
         return self.slices.get(number) or self.slices.setdefault(number, Slice(number))
 
-    def proxy(self, number: int) -> Proxy:
+    def get_or_add_proxy(self, number: int) -> Proxy:
         return self.proxies.get(number) or self.proxies.setdefault(number, Proxy(number))
--- a/lifthinge/memory/runtime.py
+++ b/lifthinge/memory/runtime.py
@@ -35,7 +35,7 @@
     async def pause(self, delay: float) -> None:
         """Waits on the one table of deadlines."""
         over = asyncio.Event()
-        deadline = self.deadlines.set(delay, over.set)
+        deadline = self.deadlines.schedule(delay, over.set)
         try:
             await over.wait()
         finally:
--- a/lifthinge/memory/slots.py
+++ b/lifthinge/memory/slots.py
@@ -1,12 +1,12 @@
 """Numbered slots with generations: what is kept of connections and requests.
 
 >>> slots = SlotPool(2)
->>> a, b = slots.put("a"), slots.put("b")
->>> slots.put("c") is None, len(slots), slots.get(a)
+>>> a, b = slots.add("a"), slots.add("b")
+>>> slots.add("c") is None, len(slots), slots.get(a)
 (True, 2, 'a')
->>> slots.free(a), slots.get(a), slots.free(a)
+>>> slots.release(a), slots.get(a), slots.release(a)
 ('a', None, None)
->>> c = slots.put("c")
+>>> c = slots.add("c")
 >>> c & 0xFFFF == a & 0xFFFF, c == a, slots.get(a), slots.get(c), slots.get(b)
 (True, False, None, 'c', 'b')
 """
@@ -26,7 +26,7 @@
         self._generations: list[int] = []
         self._free: list[int] = []
 
-    def put(self, item: T) -> int | None:
+    def add(self, item: T) -> int | None:
         """The handle of the item, or None if all slots are taken."""
         if self._free:
             slot = self._free.pop()
@@ -44,7 +44,7 @@
         fits = slot < len(self._items) and self._generations[slot] == handle >> _BITS
         return self._items[slot] if fits else None
 
-    def free(self, handle: int) -> T | None:
+    def release(self, handle: int) -> T | None:
         """Empties the slot, once; gives what it held."""
         item = self.get(handle)
         if item is not None:
--- a/lifthinge/service/agreed_source.py
+++ b/lifthinge/service/agreed_source.py
@@ -66,7 +66,7 @@
         if self._deadline is not None:
             self._deadline.cancel()
         self._deadline = (
-            self.runtime.deadlines.set(
+            self.runtime.deadlines.schedule(
                 min(later) - now, lambda: self.publish([self.current_event()])
             )
             if later
@@ -74,7 +74,7 @@
         )
         zones, methods = self.site.zones, self.site.methods
         return OperatorOverrides(
-            [found for one in out if (found := self.registry.backend(one.id))],
+            [found for one in out if (found := self.registry.get_or_add_backend(one.id))],
             {zones.index(one.name): one.share for one in document.zones if one.name in zones},
             {
                 methods.index(one.name): one.criticality
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -123,7 +123,7 @@
         self._events: list[Event] = []
         self._tasks: dict[asyncio.Task, str] = {}
         self._carry: dict[type, Callable[[Any], None]] = {
-            SetTimer: lambda o: self.runtime.deadlines.set(
+            SetTimer: lambda o: self.runtime.deadlines.schedule(
                 o.delay_ms, lambda: self.publish([TimerDue(o.handle)])
             ),
             Probe: lambda o: self.prober.probe(o.backend),
@@ -148,7 +148,7 @@
             self._follow(True)
         if self.agreed_source is not None:
             self._run("agreed", self.agreed_source.follower.run)
-        self.runtime.deadlines.set(DISCOVERY_WAIT, self._wait_no_more)
+        self.runtime.deadlines.schedule(DISCOVERY_WAIT, self._wait_no_more)
 
     def set_agreed_source(self, agreed: "AgreedSource") -> None:
         """From the start on, an agreed document is followed, too."""
@@ -277,7 +277,7 @@
             log.error("decision_failed", {"error": repr(error)}, exc_info=True)
             self.runtime.counters.add("decision_failed")
             self.is_ready = False
-            self.runtime.deadlines.set(
+            self.runtime.deadlines.schedule(
                 self.config.terms.report_interval_ms, lambda: self.publish([])
             )
             return
--- a/lifthinge/wire/client.py
+++ b/lifthinge/wire/client.py
@@ -55,8 +55,8 @@
     def send_request(self, data: bytes, wait: float) -> "asyncio.Future[CallResult]":
         """Sends a request; the future brings its answer or how it failed, and never an exception."""
         future: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
-        deadline = self.runtime.deadlines.set(wait, lambda: self.fail(FailureCause.LATE))
-        self._request = self.runtime.requests.put(
+        deadline = self.runtime.deadlines.schedule(wait, lambda: self.fail(FailureCause.LATE))
+        self._request = self.runtime.requests.add(
             PendingRequest(self.runtime.now, future, deadline)
         )
         self.runtime.counters.add(f"{self.kind}.asked")
@@ -117,14 +117,14 @@
         self._settle(answer)
 
     def _settle(self, result: CallResult) -> None:
-        request = None if self._request is None else self.runtime.requests.free(self._request)
+        request = None if self._request is None else self.runtime.requests.release(self._request)
         self._request, self.used_at = None, self.runtime.now
         if request is None:
             return
         request.deadline.cancel()
         if isinstance(result, Failure):
             self.runtime.counters.add(
-                f"{self.kind}.failed.{result.reach.value}.{result.cause.value}"
+                f"{self.kind}.failed.{result.progress.value}.{result.cause.value}"
             )
         else:
             self.runtime.counters.add(f"{self.kind}.answered.{result.status}")
@@ -159,7 +159,7 @@
                 self._kept_where = where
             elif kept is None or kept.is_closed:
                 self.runtime.counters.add(
-                    f"{self.kind}.failed.{found.reach.value}.{found.cause.value}"
+                    f"{self.kind}.failed.{found.progress.value}.{found.cause.value}"
                 )
                 return found
         try:
--- a/lifthinge/wire/connection.py
+++ b/lifthinge/wire/connection.py
@@ -40,7 +40,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
         transport.set_write_buffer_limits(high=0)
-        self.handle = self.runtime.connections.put(self)
+        self.handle = self.runtime.connections.add(self)
         self.runtime.counters.add(f"{self.kind}.opened")
         self.runtime.counters.record_max("connections.most", len(self.runtime.connections))
         if self.handle is None:
@@ -65,7 +65,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         self.is_closed = True
         if self.handle is not None:
-            self.runtime.connections.free(self.handle)
+            self.runtime.connections.release(self.handle)
         self._guard(self.on_closed)
 
     def pause_writing(self) -> None:
@@ -105,7 +105,7 @@
     """A connection that is up, or why there is none."""
     loop = asyncio.get_running_loop()
     task = loop.create_task(loop.create_connection(make, *where))
-    deadline = runtime.deadlines.set(CONNECT_WAIT, task.cancel)
+    deadline = runtime.deadlines.schedule(CONNECT_WAIT, task.cancel)
     try:
         _, connection = await task
     except asyncio.CancelledError:
--- a/lifthinge/wire/discovery.py
+++ b/lifthinge/wire/discovery.py
@@ -130,7 +130,7 @@
             self.runtime.rate_limited_log.warning(
                 "discovery_failed",
                 cause=result.cause.value,
-                reach=result.reach.value,
+                reach=result.progress.value,
                 detail=result.detail,
             )
         return result
--- a/lifthinge/wire/inbound.py
+++ b/lifthinge/wire/inbound.py
@@ -58,7 +58,7 @@
             socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER
         )
         if not self.is_closed:
-            self._deadline = self.runtime.deadlines.set(JOIN_WAIT, self._not_joined)
+            self._deadline = self.runtime.deadlines.schedule(JOIN_WAIT, self._not_joined)
             self.inbound_server.came(self)
 
     def on_data(self) -> None:
@@ -106,7 +106,7 @@
             self._deadline.cancel()
         if not self.is_closed:
             self.transport.close()
-            self._deadline = self.runtime.deadlines.set(PARTING, self.abort)
+            self._deadline = self.runtime.deadlines.schedule(PARTING, self.abort)
 
     def _use(self, message: dict) -> InvalidMessage | None:
         kind = message.get(protocol.MESSAGE_TYPE)
@@ -134,7 +134,7 @@
     def _join(self, zone: int) -> None:
         if self.state is State.STRANGER:
             self._deadline.cancel()
-            self._deadline = self.runtime.deadlines.set(IDLE_MOST, self._idle)
+            self._deadline = self.runtime.deadlines.schedule(IDLE_MOST, self._idle)
         self.state, self.zone, self.buffer.limit = State.JOINED, zone, MAX_FRAME_BYTES + 4
         self.inbound_server.collects(self)
 
@@ -142,14 +142,14 @@
         self.runtime.counters.add("inbound.not_joined")
         self._overdue = self.owes_beat
         if self._overdue:
-            self._deadline = self.runtime.deadlines.set(IDLE_MOST, self.abort)
+            self._deadline = self.runtime.deadlines.schedule(IDLE_MOST, self.abort)
         else:
             self._close()
 
     def _idle(self) -> None:
         rest = self.last_received_at + IDLE_MOST - self.runtime.now
         if rest > 0:
-            self._deadline = self.runtime.deadlines.set(rest, self._idle)
+            self._deadline = self.runtime.deadlines.schedule(rest, self._idle)
         else:
             self.runtime.counters.add("inbound.silent")
             self.abort()
--- a/lifthinge/wire/relay_client.py
+++ b/lifthinge/wire/relay_client.py
@@ -111,7 +111,7 @@
         if isinstance(result, Failure):
             self.runtime.rate_limited_log.warning(
                 "relay_call_failed",
-                reach=result.reach.value,
+                reach=result.progress.value,
                 cause=result.cause.value,
                 detail=result.detail,
             )
--- a/lifthinge/wire/relay_watch.py
+++ b/lifthinge/wire/relay_watch.py
@@ -63,7 +63,7 @@
     def _listen(self) -> None:
         if self._silence:
             self._silence.cancel()
-        self._silence = self.runtime.deadlines.set(SILENCE, self._silent)
+        self._silence = self.runtime.deadlines.schedule(SILENCE, self._silent)
 
     def _silent(self) -> None:
         self.report(Failure(self.send_progress(), FailureCause.LATE, "silent"))
@@ -108,7 +108,7 @@
             failure = await self._once()
             self.runtime.rate_limited_log.warning(
                 "news_ended",
-                reach=failure.reach.value,
+                reach=failure.progress.value,
                 cause=failure.cause.value,
                 detail=failure.detail,
             )
@@ -216,7 +216,7 @@
             return
         if self._given_over:
             self._given_over.cancel()
-        self._given_over = self.runtime.deadlines.set(LINES_FOLLOW, self._tell_given)
+        self._given_over = self.runtime.deadlines.schedule(LINES_FOLLOW, self._tell_given)
 
     def _tell_given(self) -> None:
         if self._given_over:
--- a/lifthinge/wire/translator.py
+++ b/lifthinge/wire/translator.py
@@ -252,10 +252,14 @@
         return found
 
     def _slice(self, fields: Fields) -> Slice:
-        return self.registry.slice(fields.whole(protocol.SLICE, self.site.slice_count - 1))
+        return self.registry.get_or_add_slice(
+            fields.whole(protocol.SLICE, self.site.slice_count - 1)
+        )
 
     def _proxy(self, fields: Fields) -> Proxy:
-        return self.registry.proxy(fields.whole(protocol.PROXY, self.site.proxy_count - 1))
+        return self.registry.get_or_add_proxy(
+            fields.whole(protocol.PROXY, self.site.proxy_count - 1)
+        )
 
     def _tries(self, f: Fields) -> Event:
         total, failed, span = self._counts(f)
@@ -302,7 +306,7 @@
         size, fresh, proxy = (
             f.number(protocol.WEIGHT, 0.0),
             f.flag(protocol.IS_FRESH),
-            self.registry.proxy(number),
+            self.registry.get_or_add_proxy(number),
         )
         proxy.size, proxy.zone = size, zone
         return ProxyJoined(proxy, fresh)
@@ -318,7 +322,7 @@
         return SliceLeaseChanged(self._slice(f), f.flag(protocol.IS_LEASED))
 
     def _line(self, f: Fields) -> Event:
-        backend = self.registry.backend(f.text(protocol.BACKEND))
+        backend = self.registry.get_or_add_backend(f.text(protocol.BACKEND))
         if backend is None:
             raise _Unfit("one backend too many")
         # The relay tells weights to three places: a line that stands has one, though it is told as 0.
@@ -341,7 +345,7 @@
         if phase is Phase.GONE:  # nothing is kept of one that was never known, or is forgotten
             backend = known or Backend(name, name)
         else:
-            backend = self.registry.backend(name)
+            backend = self.registry.get_or_add_backend(name)
             if backend is None:
                 raise _Unfit("one backend too many")
             self.registry.addresses[backend] = where
--- a/tests/check_members.py
+++ b/tests/check_members.py
@@ -305,9 +305,9 @@
             await trio.runtime.pause(10.0)
         first, later = told[:2]
         assert first.out_of_service == [
-            registry.backend("s-1"),
-            registry.backend("s-2"),
-        ] and later.out_of_service == [registry.backend("s-2")]
+            registry.get_or_add_backend("s-1"),
+            registry.get_or_add_backend("s-2"),
+        ] and later.out_of_service == [registry.get_or_add_backend("s-2")]
         assert first.zone_shares == {1: 0.5} and first.method_criticality == {1: 9.0}
         task.cancel()
         door.close()
--- a/tests/play/network.py
+++ b/tests/play/network.py
@@ -357,9 +357,9 @@
     async def do_order(self, *words: str) -> None:
         registry, orders = self.controller.registry, []
         kinds = {
-            "backend": registry.backend,
-            "slice": lambda n: registry.slice(int(n)),
-            "proxy": lambda n: registry.proxy(int(n)),
+            "backend": registry.get_or_add_backend,
+            "slice": lambda n: registry.get_or_add_slice(int(n)),
+            "proxy": lambda n: registry.get_or_add_proxy(int(n)),
         }
         for one in " ".join(words).split(", ") if words else ():
             name, *args = one.split()
