--- a/lifthinge/memory/__init__.py
+++ b/lifthinge/memory/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept: slots, deadlines, calls not yet answered, counters, and the world by its ids."""
+"""State in memory: slots, deadlines, pending orders, counters and the registry of known objects."""
--- a/lifthinge/memory/attempts.py
+++ b/lifthinge/memory/attempts.py
@@ -1,11 +1,11 @@
-"""Errors as values: how far an attempt came, and why it came no further."""
+"""Failed attempts as values: how much of the request was sent, and why there is no answer."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class SendProgress(Enum):
-    """How much of a request is known to have gone out."""
+    """How much of a request is known to have been sent."""
 
     NOT_SENT = "not_sent"
     PARTLY_SENT = "partly"
@@ -14,19 +14,24 @@
 
 
 class FailureCause(Enum):
-    REFUSED = "refused"
+    """Why an attempt has brought no usable answer."""
+
+    REFUSED = "refused"  # connection refused
     UNREACHABLE = "unreachable"
-    LATE = "late"
-    BROKEN = "broken"
+    LATE = "late"  # nothing received before the deadline
+    BROKEN = "broken"  # the connection was lost
     INVALID_RESPONSE = "unreadable"
-    NO_CAPACITY = "no_room"
-    ADDRESS_CHANGED = "moved"  # the partner is to be found elsewhere
-    RESUBSCRIBED = "renewed"  # asked for anew
+    NO_CAPACITY = "no_room"  # all slots for connections or requests are taken
+    ADDRESS_CHANGED = "moved"  # the server's address was changed by a new configuration
+    RESUBSCRIBED = "renewed"  # the stream is replaced by a new subscription
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """An attempt that brought no answer; it may have been acted on if it was sent wholly."""
+    """An attempt that has brought no usable answer.
+
+    `detail` is free text for the log.
+    """
 
     progress: SendProgress
     cause: FailureCause
@@ -34,8 +39,9 @@
 
     @property
     def may_have_run(self) -> bool:
-        """
-        >>> [Failure(reach, FailureCause.BROKEN).may_have_run for reach in SendProgress]
+        """Whether the server may have carried out the request, as all of it was sent.
+
+        >>> [Failure(progress, FailureCause.BROKEN).may_have_run for progress in SendProgress]
         [False, False, True, True]
         """
         return self.progress in (SendProgress.FULLY_SENT, SendProgress.ANSWERED)
--- a/lifthinge/memory/pending_orders.py
+++ b/lifthinge/memory/pending_orders.py
@@ -1,18 +1,30 @@
-"""Orders that are not yet known to be carried out, in the order given.
+"""Orders to the relay whose outcome is not known yet, in the order in which they were given.
 
 >>> from lifthinge.interface import Backend, Seal, SetEntry, SetWithdrawn, Slice
->>> one, a = Slice(4), Backend("a", "a")
+>>> slice_, backend = Slice(4), Backend("a", "a")
 >>> pending_orders = PendingOrders()
->>> pending_orders.add([(SetEntry(one, a, 1.0), b"12345"), (SetWithdrawn(a, True), b"123"), (Seal(7), b"12")])
->>> [p.body for p in pending_orders.next_batch(9)], [p.body for p in pending_orders.next_batch(99)], pending_orders.next_seal()
-([b'12345', b'123'], [b'12345', b'123', b'12'], 7)
->>> call = pending_orders.next_batch(99)
->>> pending_orders.has_orders_since(one, 0)
+>>> pending_orders.add([
+...     (SetEntry(slice_, backend, 1.0), b"12345"),
+...     (SetWithdrawn(backend, True), b"123"),
+...     (Seal(7), b"12"),
+... ])
+>>> [order.body for order in pending_orders.next_batch(9)]
+[b'12345', b'123']
+>>> [order.body for order in pending_orders.next_batch(99)]
+[b'12345', b'123', b'12']
+>>> pending_orders.next_seal()
+7
+>>> batch = pending_orders.next_batch(99)
+>>> pending_orders.has_orders_since(slice_, 0)
 True
->>> pending_orders.discard_slice(one); pending_orders.settle(call[:2]); [p.body for p in pending_orders.next_batch(99)], len(pending_orders)
+>>> pending_orders.discard_slice(slice_)
+>>> pending_orders.settle(batch[:2])
+>>> [order.body for order in pending_orders.next_batch(99)], len(pending_orders)
 ([b'12'], 1)
->>> pending_orders.has_orders_since(one, 0), pending_orders.has_orders_since(one, pending_orders.settled_count)
-(True, False)
+>>> pending_orders.has_orders_since(slice_, 0)
+True
+>>> pending_orders.has_orders_since(slice_, pending_orders.settled_count)
+False
 """
 
 from collections.abc import Iterable
@@ -23,55 +35,68 @@
 
 @dataclass(eq=False, slots=True)
 class PendingOrder:
+    """An order and its encoding."""
+
     order: Order
-    body: bytes
+    body: bytes  # JSON, as sent to the relay
 
 
 class PendingOrders:
-    """The controller adds to it only while it is empty, so it holds one decision's orders at most."""
+    """A queue of orders.
+
+    The controller adds to it only while it is empty, so it never holds the orders of more than one
+    decision.
+    """
 
     def __init__(self) -> None:
-        self._waiting: list[PendingOrder] = []
-        self.settled_count = 0  # orders, ever
-        self._settled_at: dict[Slice, int] = {}  # which of them was a slice's last
+        self._pending: list[PendingOrder] = []
+        self.settled_count = 0  # orders ever settled
+        # Slice -> the settled count just after its last order was settled.
+        self._last_settled: dict[Slice, int] = {}
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._pending)
 
     def add(self, orders: Iterable[tuple[Order, bytes]]) -> None:
-        self._waiting += [PendingOrder(order, body) for order, body in orders]
-
-    def next_batch(self, most: int) -> list[PendingOrder]:
-        """The first orders, of so many bytes with the commas between them; one at least."""
-        call: list[PendingOrder] = []
-        for one in self._waiting:
-            most -= len(one.body) + 1
-            if call and most < -1:
+        """Append orders with their encodings."""
+        self._pending += [PendingOrder(order, body) for order, body in orders]
+
+    def next_batch(self, budget_bytes: int) -> list[PendingOrder]:
+        """Return the first orders that fit, joined by commas, into the bytes; at least one."""
+        batch: list[PendingOrder] = []
+        for pending in self._pending:
+            budget_bytes -= len(pending.body) + 1  # the last order has no comma: hence -1 below
+            if batch and budget_bytes < -1:
                 break
-            call.append(one)
-        return call
+            batch.append(pending)
+        return batch
 
-    def settle(self, done: list[PendingOrder]) -> None:
-        settled = set(done)
-        self._waiting = [one for one in self._waiting if one not in settled]
-        for one in done:
+    def settle(self, batch: list[PendingOrder]) -> None:
+        """Remove orders whose outcome is known, and count them."""
+        settled = set(batch)
+        self._pending = [pending for pending in self._pending if pending not in settled]
+        for pending in batch:
             self.settled_count += 1
-            if isinstance(one.order, (SetEntry, ClearTable)):
-                self._settled_at[one.order.slice] = self.settled_count
+            if isinstance(pending.order, (SetEntry, ClearTable)):
+                self._last_settled[pending.order.slice] = self.settled_count
 
-    def discard_slice(self, gone: Slice) -> None:
-        """What was ordered for a slice that has been taken away, or given anew, dies with it."""
-        self._waiting = [
-            one for one in self._waiting if getattr(one.order, "slice", None) is not gone
+    def discard_slice(self, slice_: Slice) -> None:
+        """Remove the orders for a slice that was taken away or granted again: they are void."""
+        self._pending = [
+            pending
+            for pending in self._pending
+            if getattr(pending.order, "slice", None) is not slice_
         ]
 
     def next_seal(self) -> int | None:
+        """Return the number of the first pending seal; None if there is none."""
         return next(
-            (one.order.number for one in self._waiting if isinstance(one.order, Seal)), None
+            (pending.order.number for pending in self._pending if isinstance(pending.order, Seal)),
+            None,
         )
 
-    def has_orders_since(self, one: Slice, since: int) -> bool:
-        """Whether a slice has orders under way, or had some settled after so many."""
-        return self._settled_at.get(one, 0) > since or any(
-            getattr(waiting.order, "slice", None) is one for waiting in self._waiting
+    def has_orders_since(self, slice_: Slice, settled_count: int) -> bool:
+        """Return whether a slice has pending orders, or had one settled after the given count."""
+        return self._last_settled.get(slice_, 0) > settled_count or any(
+            getattr(pending.order, "slice", None) is slice_ for pending in self._pending
         )
--- a/lifthinge/memory/registry.py
+++ b/lifthinge/memory/registry.py
@@ -1,11 +1,18 @@
-"""The world by its ids: backends, slices and proxies, each one object for as long as anything names it.
+"""Known backends, slices and proxies by id: each id stands for the same object while it is kept.
 
 >>> registry = Registry()
->>> one = registry.get_or_add_backend("s-a"); one.is_withdrawn = True; registry.forget(one); registry.backends
+>>> backend = registry.get_or_add_backend("s-a")
+>>> backend.is_withdrawn = True
+>>> registry.forget(backend); registry.backends
 {}
->>> registry.get_or_add_backend("s-a") is one, registry.get_or_add_backend("s-a").is_withdrawn, registry.get_or_add_backend("s-b").is_withdrawn
-(False, True, False)
->>> registry.listings[registry.get_or_add_backend("s-b")] = None; registry.forget(registry.get_or_add_backend("s-b")); list(registry.backends)
+>>> registry.get_or_add_backend("s-a") is backend
+False
+>>> registry.get_or_add_backend("s-a").is_withdrawn
+True
+>>> registry.get_or_add_backend("s-b").is_withdrawn
+False
+>>> registry.listings[registry.get_or_add_backend("s-b")] = None
+>>> registry.forget(registry.get_or_add_backend("s-b")); list(registry.backends)
 ['s-a', 's-b']
 """
 
@@ -13,48 +20,51 @@
 
 from lifthinge.interface import Backend, Listing, Proxy, Slice
 
-BACKENDS_MOST = 8192  # known at a time; further ones are strangers
-WITHDRAWN_MOST = (
-    8192  # ids kept of those forgotten while withdrawn: they still are, should they come back
-)
+MAX_BACKENDS = 8192  # known at a time; further ids are not accepted
+# Ids kept of backends that were forgotten while withdrawn: they are still withdrawn if they return.
+MAX_WITHDRAWN_IDS = 8192
 
 
 @dataclass(eq=False, slots=True)
 class Registry:
-    """What ids mean here, and what stands as last told to the decisions."""
+    """The objects behind ids, and the state last reported to the decisions."""
 
     backends: dict[str, Backend] = field(default_factory=dict)
     addresses: dict[Backend, tuple[str, int]] = field(default_factory=dict)
-    listings: dict[Backend, Listing] = field(default_factory=dict)  # not gone
-    version: int = -1
+    listings: dict[Backend, Listing] = field(default_factory=dict)  # all but those gone
+    version: int = -1  # of the fleet list; -1: none was received
     slices: dict[int, Slice] = field(default_factory=dict)
-    leased_slices: dict[Slice, None] = field(default_factory=dict)  # in this controller's charge
+    leased_slices: dict[Slice, None] = field(default_factory=dict)  # used as a set
     proxies: dict[int, Proxy] = field(default_factory=dict)
-    joined_proxies: dict[Proxy, bool] = field(default_factory=dict)  # whether each came fresh
-    withdrawn: dict[str, None] = field(default_factory=dict)  # ids forgotten, oldest first
+    joined_proxies: dict[Proxy, bool] = field(default_factory=dict)  # whether for the first time
+    withdrawn: dict[str, None] = field(default_factory=dict)  # used as a set; oldest first
 
-    def get_or_add_backend(self, name: str) -> Backend | None:
-        """The backend of this id; None if it is new and there is no room."""
-        if name not in self.backends and len(self.backends) >= BACKENDS_MOST:
+    def get_or_add_backend(self, backend_id: str) -> Backend | None:
+        """Return the backend of this id, made if it is new; None if there are too many."""
+        if backend_id not in self.backends and len(self.backends) >= MAX_BACKENDS:
             return None
-        if name not in self.backends:
-            self.backends[name] = Backend(name, name, is_withdrawn=name in self.withdrawn)
-            self.withdrawn.pop(name, None)
-        return self.backends[name]
+        if backend_id not in self.backends:
+            self.backends[backend_id] = Backend(
+                backend_id, backend_id, is_withdrawn=backend_id in self.withdrawn
+            )
+            self.withdrawn.pop(backend_id, None)
+        return self.backends[backend_id]
 
     def forget(self, backend: Backend) -> None:
-        """Keeps nothing of a backend but that it is withdrawn, unless it has been listed meanwhile."""
+        """Drop a backend unless it is listed again; keep the id of a withdrawn one."""
         if backend in self.listings or self.backends.get(backend.backend_id) is not backend:
             return
         del self.backends[backend.backend_id]
         self.addresses.pop(backend, None)
         if backend.is_withdrawn:
             self.withdrawn[backend.backend_id] = None
-        if len(self.withdrawn) > WITHDRAWN_MOST:
+        if len(self.withdrawn) > MAX_WITHDRAWN_IDS:
             del self.withdrawn[next(iter(self.withdrawn))]
 
     def get_or_add_slice(self, number: int) -> Slice:
+        """Return the slice of this number, made if it is new."""
         return self.slices.get(number) or self.slices.setdefault(number, Slice(number))
 
     def get_or_add_proxy(self, number: int) -> Proxy:
+        """Return the proxy of this number, made if it is new."""
         return self.proxies.get(number) or self.proxies.setdefault(number, Proxy(number))
--- a/lifthinge/memory/slots.py
+++ b/lifthinge/memory/slots.py
@@ -1,35 +1,41 @@
-"""Numbered slots with generations: what is kept of connections and requests.
+"""A bounded pool of numbered slots with generations, for open connections and pending requests.
 
 >>> slots = SlotPool(2)
->>> a, b = slots.add("a"), slots.add("b")
->>> slots.add("c") is None, len(slots), slots.get(a)
+>>> first, second = slots.add("a"), slots.add("b")
+>>> slots.add("c") is None, len(slots), slots.get(first)
 (True, 2, 'a')
->>> slots.release(a), slots.get(a), slots.release(a)
+>>> slots.release(first), slots.get(first), slots.release(first)
 ('a', None, None)
->>> c = slots.add("c")
->>> c & 0xFFFF == a & 0xFFFF, c == a, slots.get(a), slots.get(c), slots.get(b)
-(True, False, None, 'c', 'b')
+>>> third = slots.add("c")
+>>> third & 0xFFFF == first & 0xFFFF, third == first
+(True, False)
+>>> slots.get(first), slots.get(third), slots.get(second)
+(None, 'c', 'b')
 """
 
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-_BITS = 16
+_SLOT_BITS = 16  # low bits of a handle that hold the slot; the generation is above them
 
 
 class SlotPool(Generic[T]):
-    """At most `limit` items; a handle is of one item for good, though its slot is used again."""
+    """Holds at most `limit` items.
+
+    A handle belongs to one item for ever: a reused slot has a new generation, so a handle of its
+    former item finds nothing.
+    """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self._items: list[T | None] = []
         self._generations: list[int] = []
-        self._free: list[int] = []
+        self._free_slots: list[int] = []
 
     def add(self, item: T) -> int | None:
-        """The handle of the item, or None if all slots are taken."""
-        if self._free:
-            slot = self._free.pop()
+        """Store an item and return its handle; None if all slots are taken."""
+        if self._free_slots:
+            slot = self._free_slots.pop()
         elif len(self._items) < self.limit:
             slot = len(self._items)
             self._items.append(None)
@@ -37,22 +43,23 @@
         else:
             return None
         self._items[slot] = item
-        return self._generations[slot] << _BITS | slot
+        return self._generations[slot] << _SLOT_BITS | slot
 
     def get(self, handle: int) -> T | None:
-        slot = handle & (1 << _BITS) - 1
-        fits = slot < len(self._items) and self._generations[slot] == handle >> _BITS
-        return self._items[slot] if fits else None
+        """Return the item of a handle; None if it was released."""
+        slot = handle & (1 << _SLOT_BITS) - 1
+        is_current = slot < len(self._items) and self._generations[slot] == handle >> _SLOT_BITS
+        return self._items[slot] if is_current else None
 
     def release(self, handle: int) -> T | None:
-        """Empties the slot, once; gives what it held."""
+        """Free the item's slot and return the item; None if it was released before."""
         item = self.get(handle)
         if item is not None:
-            slot = handle & (1 << _BITS) - 1
+            slot = handle & (1 << _SLOT_BITS) - 1
             self._items[slot] = None
             self._generations[slot] += 1
-            self._free.append(slot)
+            self._free_slots.append(slot)
         return item
 
     def __len__(self) -> int:
-        return len(self._items) - len(self._free)
+        return len(self._items) - len(self._free_slots)
