--- a/lifthinge/wire/relay_client.py
+++ b/lifthinge/wire/relay_client.py
@@ -1,8 +1,8 @@
-"""PendingOrders to the relay: one in order at a time, until it is known what became of each.
+"""Sends orders to the relay: one call at a time, in order, until each order's fate is known.
 
-What never went out wholly goes again. What went out wholly and brought no answer ran as ordered or not at
-all: it goes again once the decisions say that the channel bears it, unless a proxy's answer to its seal shows
-that it ran.
+A call that was not sent in full is sent again. A call that was sent in full and not answered has
+run as a whole or not at all: it is sent again once the decisions allow the repeat, unless a proxy
+confirms the call's seal, which shows that it ran.
 """
 
 import asyncio
@@ -18,17 +18,20 @@
 from lifthinge.wire.frames import decode_object
 from lifthinge.wire.translator import MessageTranslator
 
-CALL_MOST = 60_000  # bytes of orders in a call
-ANSWER_WAIT = 200.0  # ms: an answer comes within 50 or never
-THROTTLE_WAIT = 50.0
-RETRY_LEAST, RETRY_MOST = 50.0, 250.0
-ERRORS_MOST = 5  # answers in a row that are errors, before a call is given up
+MAX_CALL_BODY_BYTES = 60_000  # of one call, unless a single order is longer
+ANSWER_TIMEOUT_MS = 200.0  # an answer comes within 50 ms or never
+THROTTLE_DELAY_MS = 50.0  # before a throttled call is sent again
+MIN_RETRY_DELAY_MS = 50.0  # from the second failure in a row on; drawn at random up to the maximum
+MAX_RETRY_DELAY_MS = 250.0
+MAX_CONSECUTIVE_ERRORS = 5  # error answers in a row after which a call is given up
 
 
 class RelayClient:
-    """`changed` is called when all orders given are settled, or one call's fate becomes unknown.
+    """Sends the pending orders to the relay and settles them by its answers.
 
-    `refused` takes an order that the relay can't use, `given_up` those of a whole call.
+    `on_state_changed` is called when all submitted orders are settled, or when the fate of a call
+    becomes unknown. `on_order_refused` takes an order that the relay can't use,
+    `on_call_abandoned` the orders of a whole call that is given up.
     """
 
     def __init__(
@@ -36,26 +39,30 @@
         runtime: Runtime,
         translator: MessageTranslator,
         pending_orders: PendingOrders,
-        where: tuple[str, int],
+        address: tuple[str, int],
         on_state_changed: Callable[[], None],
         on_order_refused: Callable[[Order], None],
         on_call_abandoned: Callable[[list[Order]], None],
     ) -> None:
-        self.runtime, self.translator, self.pending_orders = runtime, translator, pending_orders
-        self.on_state_changed, self.on_order_refused, self.on_call_abandoned = (
-            on_state_changed,
-            on_order_refused,
-            on_call_abandoned,
-        )
-        self.unknown_seal = 0  # the seal of a call whose fate is unknown, until it goes out again
-        self.is_broken_off = (
-            False  # whether it broke off; else the relay was silent or could not be read
-        )
-        self._client = HttpClient(runtime, "relay_call", where)
-        self._given, self._known = asyncio.Event(), asyncio.Event()
-        self._failures = self._errors = 0  # in a row
+        self.runtime = runtime
+        self.translator = translator
+        self.pending_orders = pending_orders
+        self.on_state_changed = on_state_changed
+        self.on_order_refused = on_order_refused
+        self.on_call_abandoned = on_call_abandoned
+        # Seal of the call whose fate is unknown, until the fate is known or it may be repeated;
+        # 0: there is none.
+        self.unknown_seal = 0
+        # Whether that call's connection broke; else its answer was late, an error or unreadable.
+        self.is_broken_off = False
+        self._client = HttpClient(runtime, "relay_call", address)
+        self._orders_submitted = asyncio.Event()
+        self._unknown_call_resolved = asyncio.Event()
+        self._consecutive_failures = 0  # calls in a row that were not answered or were errors
+        self._consecutive_errors = 0  # error answers in a row
 
     def submit(self, orders: Iterable[Order]) -> None:
+        """Add orders to the pending ones and wake the sender."""
         self.pending_orders.add(
             [
                 (
@@ -65,49 +72,60 @@
                 for order in orders
             ]
         )
-        self._given.set()
+        self._orders_submitted.set()
+
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Set host and port for the next call.
 
-    def change_address(self, where: tuple[str, int]) -> None:
-        """The next call goes there; one under way ends where it began, or its fate is unknown."""
-        self._client.address = where
+        A call under way ends at the former address, or its fate becomes unknown.
+        """
+        self._client.address = address
 
     def allow_repeat(self, seal: int) -> None:
-        """The call may go out again."""
+        """Let the call of unknown fate with this seal be sent again."""
         if self.unknown_seal == seal:
             self.runtime.counters.add("relay_call.repeated")
-            self._end_doubt()
+            self._resolve_unknown_call()
 
     def on_seal_confirmed(self, seal: int) -> None:
-        """A proxy has answered a seal: if its call's fate was unknown, it ran."""
+        """Settle the call of unknown fate if a proxy confirmed its seal: it has run."""
         if self.unknown_seal == seal:
             self.runtime.counters.add("relay_call.shown_to_have_run")
-            self.pending_orders.settle(self._front())
-            self._failures = self._errors = 0
-            self._end_doubt()
+            self.pending_orders.settle(self._next_call())
+            self._consecutive_failures = 0
+            self._consecutive_errors = 0
+            self._resolve_unknown_call()
 
     async def run(self) -> None:
+        """Send submitted orders, call after call, until cancelled."""
         while True:
-            await self._given.wait()
-            while call := self._front():
+            await self._orders_submitted.wait()
+            while call := self._next_call():
                 body = b'{"%s":[%s]}' % (
                     protocol.ORDERS.encode(),
-                    b",".join(one.body for one in call),
+                    b",".join(pending.body for pending in call),
                 )
                 result = await self._client.call(
-                    build_post(protocol.TRANSACTION_PATH, body), ANSWER_WAIT
+                    build_post(protocol.TRANSACTION_PATH, body), ANSWER_TIMEOUT_MS
                 )
-                await self._settle(call, result)
-            self._given.clear()
+                await self._handle_result(call, result)
+            self._orders_submitted.clear()
             self.on_state_changed()
 
     def close(self) -> None:
+        """Close the connection to the relay."""
         self._client.close()
 
-    def _front(self) -> list[PendingOrder]:
-        return self.pending_orders.next_batch(CALL_MOST - len(protocol.ORDERS) - 8)
+    def _next_call(self) -> list[PendingOrder]:
+        """Return the first pending orders that fit into one call body; empty if none is pending."""
+        return self.pending_orders.next_batch(MAX_CALL_BODY_BYTES - len(protocol.ORDERS) - 8)
 
-    async def _settle(self, call: list[PendingOrder], result: CallResult) -> None:
-        """Takes in what became of a call; returns when the next may go out."""
+    async def _handle_result(self, call: list[PendingOrder], result: CallResult) -> None:
+        """Handle the result of a call; return when the next call may be sent.
+
+        The relay answers with the number of orders that it accepted: it stops at the first order
+        that it can't use, which is settled as refused.
+        """
         if isinstance(result, Failure):
             self.runtime.rate_limited_log.warning(
                 "relay_call_failed",
@@ -115,12 +133,13 @@
                 cause=result.cause.value,
                 detail=result.detail,
             )
-            await self._again(result.may_have_run, result.cause is FailureCause.BROKEN)
+            await self._handle_failed_call(result.may_have_run, result.cause is FailureCause.BROKEN)
             return
         answer = decode_object(result.body)
         accepted = answer.get(protocol.ACCEPTED) if isinstance(answer, dict) else None
         if result.status == 200 and type(accepted) is int and 0 <= accepted <= len(call):
-            self._failures = self._errors = 0
+            self._consecutive_failures = 0
+            self._consecutive_errors = 0
             self.runtime.counters.add("orders_accepted", accepted)
             self.pending_orders.settle(call[: accepted + 1])
             if accepted < len(call):
@@ -129,37 +148,50 @@
                 )
                 self.on_order_refused(call[accepted].order)
         elif isinstance(answer, dict) and answer.get(protocol.ERROR) == protocol.THROTTLED:
-            await self.runtime.pause(THROTTLE_WAIT)
+            await self.runtime.pause(THROTTLE_DELAY_MS)
         else:
-            await self._take_error(call, result, answer)
+            await self._handle_error_answer(call, result, answer)
+
+    async def _handle_error_answer(
+        self, call: list[PendingOrder], result: Response, answer: object
+    ) -> None:
+        """Handle an error answer other than throttling, or an answer that can't be read.
 
-    async def _take_error(self, call: list[PendingOrder], result: Response, answer: object) -> None:
-        """An error that is no waiting, or what can't be read: then it is unknown whether the call ran."""
-        self._errors += 1
+        A call that the relay calls invalid, or that drew too many errors, is given up. Otherwise
+        it is unknown whether the call ran.
+        """
+        self._consecutive_errors += 1
         self.runtime.rate_limited_log.warning(
             "relay_call_error", status=result.status, body=result.body[:200].decode("latin-1")
         )
-        invalid = isinstance(answer, dict) and answer.get(protocol.ERROR) == protocol.INVALID
-        if invalid or self._errors >= ERRORS_MOST:
+        is_invalid = isinstance(answer, dict) and answer.get(protocol.ERROR) == protocol.INVALID
+        if is_invalid or self._consecutive_errors >= MAX_CONSECUTIVE_ERRORS:
             self.runtime.rate_limited_log.warning("relay_call_given_up", orders=len(call))
             self.pending_orders.settle(call)
-            self._errors = 0
-            self.on_call_abandoned([one.order for one in call])
+            self._consecutive_errors = 0
+            self.on_call_abandoned([pending.order for pending in call])
         else:
-            await self._again(True)
+            await self._handle_failed_call(True)
+
+    async def _handle_failed_call(self, may_have_run: bool, is_broken_off: bool = False) -> None:
+        """Wait until the failed call may be repeated.
 
-    async def _again(self, may_have_run: bool, broken: bool = False) -> None:
-        self._failures += 1
-        if self._failures > 1:
+        Every failure in a row but the first is followed by a random delay. A call that may have
+        run and holds a seal then waits for `allow_repeat` or `on_seal_confirmed`.
+        """
+        self._consecutive_failures += 1
+        if self._consecutive_failures > 1:
             await self.runtime.pause(
-                RETRY_LEAST + self.runtime.rng.random() * (RETRY_MOST - RETRY_LEAST)
+                MIN_RETRY_DELAY_MS
+                + self.runtime.rng.random() * (MAX_RETRY_DELAY_MS - MIN_RETRY_DELAY_MS)
             )
         if may_have_run and (seal := self.pending_orders.next_seal()):
-            self.unknown_seal, self.is_broken_off = seal, broken
-            self._known.clear()
+            self.unknown_seal = seal
+            self.is_broken_off = is_broken_off
+            self._unknown_call_resolved.clear()
             self.on_state_changed()
-            await self._known.wait()
+            await self._unknown_call_resolved.wait()
 
-    def _end_doubt(self) -> None:
+    def _resolve_unknown_call(self) -> None:
         self.unknown_seal = 0
-        self._known.set()
+        self._unknown_call_resolved.set()
