--- a/lifthinge/wire/discovery.py
+++ b/lifthinge/wire/discovery.py
@@ -1,4 +1,7 @@
-"""Discovery: the whole list, then watches without a gap; only differences are told."""
+"""Client of discovery: fetches the fleet list, then watches its changes without a gap.
+
+Only differences from the registry's listings are published.
+"""
 
 import logging
 from collections.abc import Callable
@@ -14,19 +17,24 @@
 from lifthinge.wire.translator import MessageTranslator
 
 log = logging.getLogger(__name__)
-WATCH_WAIT = 4_000  # ms that a watch asks discovery to wait: a silent one is found out soon after
-WATCH_AGAIN = (
-    1_000  # the same after an answer that was spoilt in part: then the whole list is asked for
-)
-ANSWER_WAIT = 700.0  # beyond that
-RETRY_LEAST, RETRY_MOST = 30.0, 150.0
-OLDER = "older than the list held"
+# Time that a watch asks discovery to wait for a change; a silent agent is noticed soon after it.
+LONG_WATCH_MS = 4_000
+# The same after an answer with invalid entries: when it is over, the full list is requested.
+SHORT_WATCH_MS = 1_000
+ANSWER_TIMEOUT_MS = 700.0  # on top of the time that the request asks discovery to wait
+# Delay before a request from the second failure in a row on, drawn at random up to the maximum. The
+# minimum also follows an answer without a change that came sooner than the maximum.
+MIN_RETRY_DELAY_MS = 30.0
+MAX_RETRY_DELAY_MS = 150.0
+STALE_VERSION = "older than the list held"  # detail of the failure to take a stale list
 
 
 class DiscoveryClient:
-    """`tell` takes the fleet news. On a site that tells only when asked, nothing is asked unbidden.
+    """Fetches and watches the fleet list; `publish` takes the fleet news.
 
-    After a move the former watch goes on beside the new address's, until that has told its list.
+    On a site with fleet news on request, a failed watch is not repeated unless `watch_list` is
+    called again. After a change of address, the watch at the former one goes on beside the new
+    watch until that has received its list.
     """
 
     def __init__(
@@ -34,99 +42,123 @@
         runtime: Runtime,
         translator: MessageTranslator,
         registry: Registry,
-        where: tuple[str, int],
+        address: tuple[str, int],
         publish: Callable[[FleetNews], None],
     ) -> None:
-        self.runtime, self.translator, self.registry, self.address, self.publish = (
-            runtime,
-            translator,
-            registry,
-            where,
-            publish,
-        )
-        self.has_answered = False  # ever
-        self._watches: list[HttpClient] = []  # each of a line of watches, the newest last
-        self._list = HttpClient(runtime, "discovery_list", where)
-        self._spoilt = False  # the last answer had entries that could not be used
-        self._older = range(0)  # versions below the one held that are believed of a list
+        self.runtime = runtime
+        self.translator = translator
+        self.registry = registry
+        self.address = address
+        self.publish = publish
+        self.has_answered = False  # whether discovery has ever sent a list that could be read
+        # The client of each running `watch_list`, the newest last.
+        self._watches: list[HttpClient] = []
+        self._list_client = HttpClient(runtime, "discovery_list", address)
+        self._has_invalid_entries = False  # whether the last list had entries that can't be used
+        # Versions below the one held that a non-empty full list may have nevertheless.
+        self._accepted_stale_versions = range(0)
 
     def close(self) -> None:
-        self._end_before(None)
-        self._list.close()
+        """Close all connections to discovery."""
+        self._close_watches_before(None)
+        self._list_client.close()
 
-    def change_address(self, where: tuple[str, int]) -> None:
-        """What is asked from now on is asked there; a new line of watches is the caller's to start."""
-        self.address = self._list.address = where
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Set host and port for later requests; the caller starts a new `watch_list`."""
+        self.address = address
+        self._list_client.address = address
 
     async def watch_list(self) -> None:
-        """Watches for good: for sites that push, or once a subscription has been asked for."""
-        watch, failures, since = HttpClient(self.runtime, "discovery_watch", self.address), 0, False
-        wait = WATCH_WAIT
+        """Request the full list, then one watch after another.
+
+        Return when a newer address has replaced this one, or, on a site with fleet news on
+        request, after a failure, which is published.
+        """
+        watch = HttpClient(self.runtime, "discovery_watch", self.address)
+        consecutive_failures = 0
+        changes_only = False  # whether the next request is a watch
+        wait_ms = LONG_WATCH_MS
         self._watches.append(watch)
         try:
             while watch in self._watches:
-                began, version = self.runtime.now, self.registry.version
-                failure = await self._call(watch, since, wait)
+                started_at_ms = self.runtime.now
+                version = self.registry.version
+                failure = await self._request_list(watch, changes_only, wait_ms)
                 if failure is None:
-                    self._end_before(watch)
+                    self._close_watches_before(watch)
                     if (
-                        since
+                        changes_only
                         and version == self.registry.version
-                        and self.runtime.now - began < RETRY_MOST
+                        and self.runtime.now - started_at_ms < MAX_RETRY_DELAY_MS
                     ):
-                        await self.runtime.pause(RETRY_LEAST)  # it did not wait: no reason to spin
-                    failures, since = (
-                        0,
-                        wait != WATCH_AGAIN,
-                    )  # then a short watch is over, and all is asked
-                    wait = WATCH_AGAIN if self._spoilt and since else WATCH_WAIT
+                        # Discovery answered without a change and did not wait: avoid a busy loop.
+                        await self.runtime.pause(MIN_RETRY_DELAY_MS)
+                    consecutive_failures = 0
+                    # After a short watch, the full list is requested.
+                    changes_only = wait_ms != SHORT_WATCH_MS
+                    wait_ms = (
+                        SHORT_WATCH_MS
+                        if self._has_invalid_entries and changes_only
+                        else LONG_WATCH_MS
+                    )
                     continue
-                failures, since = failures + 1, since and failure.detail != OLDER
+                consecutive_failures += 1
+                changes_only = changes_only and failure.detail != STALE_VERSION
                 if watch not in self._watches[-1:]:  # there is a newer address
                     return
                 if self.translator.site.news_on_request:
                     self.publish(FleetNews(FleetNewsKind.MISSED, []))
                     return
-                if failures > 1:
+                if consecutive_failures > 1:
                     await self.runtime.pause(
-                        RETRY_LEAST + self.runtime.rng.random() * (RETRY_MOST - RETRY_LEAST)
+                        MIN_RETRY_DELAY_MS
+                        + self.runtime.rng.random() * (MAX_RETRY_DELAY_MS - MIN_RETRY_DELAY_MS)
                     )
         finally:
             watch.close()
-            self._watches = [one for one in self._watches if one is not watch]
+            self._watches = [other for other in self._watches if other is not watch]
 
-    def _end_before(self, watch: HttpClient | None) -> None:
-        """A newer address has told its list: the watches at former ones are over."""
+    def _close_watches_before(self, watch: HttpClient | None) -> None:
+        """Close the watches that are older than the given one; all of them if it is None."""
         while self._watches and self._watches[0] is not watch:
             self._watches.pop(0).close()
 
     async def fetch_list(self) -> None:
-        """One call for the whole list."""
-        if await self._call(self._list, False) is not None:
+        """Request the full list once; a failure is published."""
+        if await self._request_list(self._list_client, False) is not None:
             self.publish(FleetNews(FleetNewsKind.MISSED, []))
 
-    async def _call(
-        self, caller: HttpClient, since: bool, wait: int = WATCH_WAIT
+    async def _request_list(
+        self, client: HttpClient, changes_only: bool, wait_ms: int = LONG_WATCH_MS
     ) -> Failure | None:
+        """Request the list, or its changes; handle the answer or return the failure.
+
+        With `changes_only`, discovery may wait up to `wait_ms` for a change.
+        """
         path = protocol.LIST_PATH + (
-            f"?{protocol.SINCE_VERSION}={self.registry.version}&{protocol.WATCH_TIMEOUT_MS}={wait}"
-            if since
+            f"?{protocol.SINCE_VERSION}={self.registry.version}&{protocol.WATCH_TIMEOUT_MS}={wait_ms}"
+            if changes_only
             else ""
         )
-        result = await caller.call(build_get(path), ANSWER_WAIT + (wait if since else 0))
+        result = await client.call(
+            build_get(path), ANSWER_TIMEOUT_MS + (wait_ms if changes_only else 0)
+        )
         if not isinstance(result, Failure):
             message = (
                 decode_object(result.body)
                 if result.status == 200
                 else InvalidMessage(f"status {result.status}")
             )
-            trouble = (
-                message if isinstance(message, InvalidMessage) else self._take(message, not since)
+            error = (
+                message
+                if isinstance(message, InvalidMessage)
+                else self._handle_list(message, not changes_only)
             )
-            if trouble is None:
+            if error is None:
                 return None
-            result = Failure(SendProgress.ANSWERED, FailureCause.INVALID_RESPONSE, trouble.why)
-        if caller is self._list or caller in self._watches:  # and not one that was ended
+            result = Failure(SendProgress.ANSWERED, FailureCause.INVALID_RESPONSE, error.why)
+        # A watch that was closed meanwhile is not worth a log line.
+        if client is self._list_client or client in self._watches:
             self.runtime.rate_limited_log.warning(
                 "discovery_failed",
                 cause=result.cause.value,
@@ -136,82 +168,104 @@
         return result
 
     def load_known_list(self, message: dict) -> InvalidMessage | None:
-        """Takes the list that this controller last held, maybe out of date."""
-        found = self.translator.read_list_header(message)
-        if isinstance(found, InvalidMessage):
-            return found
-        listings, _ = self._read(found[2])
-        self.registry.version = found[0]
-        self._keep(listings)
+        """Take the list that this controller last stored, which may be out of date.
+
+        Return the error if it can't be used.
+        """
+        header = self.translator.read_list_header(message)
+        if isinstance(header, InvalidMessage):
+            return header
+        version, _, entries = header
+        listings, _ = self._read_entries(entries)
+        self.registry.version = version
+        self._store_listings(listings)
         self.publish(FleetNews(FleetNewsKind.CACHED, listings))
         return None
 
-    def _take(self, message: dict, first: bool) -> InvalidMessage | None:
-        """Takes a list or its changes; the first answer of a subscription is told though nothing changed.
+    def _handle_list(self, message: dict, is_first: bool) -> InvalidMessage | None:
+        """Take a list or its changes; return the error if it can't be used.
 
-        A list older than the one held may come from an agent that is behind, or that counts anew: it is
-        believed if asked for again it is no older, and not empty.
+        `is_first` tells an answer to a request for the full list; it is published even if nothing
+        has changed. A list older than the one held may come from an agent that is behind, or that
+        has begun to count anew: such a full list is accepted if it is not empty, and no older than
+        the one that a former request for the full list brought.
         """
-        found = self.translator.read_list_header(message)
-        if isinstance(found, InvalidMessage):
-            return found
-        version, whole, entries = found
-        if version < self.registry.version and not (whole and entries and version in self._older):
-            self._older = range(version, self.registry.version) if first else self._older
-            return InvalidMessage(OLDER)
-        self._older = range(0)
-        listings, named = self._read(entries)
+        header = self.translator.read_list_header(message)
+        if isinstance(header, InvalidMessage):
+            return header
+        version, is_full, entries = header
+        if version < self.registry.version and not (
+            is_full and entries and version in self._accepted_stale_versions
+        ):
+            self._accepted_stale_versions = (
+                range(version, self.registry.version) if is_first else self._accepted_stale_versions
+            )
+            return InvalidMessage(STALE_VERSION)
+        self._accepted_stale_versions = range(0)
+        listings, listed_ids = self._read_entries(entries)
         changed = [
-            one
-            for one in listings
-            if self.registry.listings.get(one.backend) != one
-            and (one.phase is not Phase.GONE or one.backend in self.registry.listings)
+            listing
+            for listing in listings
+            if self.registry.listings.get(listing.backend) != listing
+            and (listing.phase is not Phase.GONE or listing.backend in self.registry.listings)
         ]
-        if whole:
+        if is_full:
             changed += [
-                Listing(one.backend, one.zone, one.cell, Phase.GONE, one.started_at_ms, one.size)
-                for one in self.registry.listings.values()
-                if one.backend.backend_id not in named
+                Listing(
+                    listing.backend,
+                    listing.zone,
+                    listing.cell,
+                    Phase.GONE,
+                    listing.started_at_ms,
+                    listing.size,
+                )
+                for listing in self.registry.listings.values()
+                if listing.backend.backend_id not in listed_ids
             ]
-        self.registry.version, self.has_answered = version, True
-        self._keep(changed)
-        if changed or first:
+        self.registry.version = version
+        self.has_answered = True
+        self._store_listings(changed)
+        if changed or is_first:
             self.publish(FleetNews(FleetNewsKind.DELTA, changed))
         return None
 
-    def _read(self, entries: list) -> tuple[list[Listing], set]:
-        """The entries that can be used, and every id that is named, usable or not.
+    def _read_entries(self, entries: list) -> tuple[list[Listing], set]:
+        """Return the listings of the usable entries, and the ids of all entries, usable or not.
 
-        Of one that is spoilt it still counts that the backend leaves, if that can be read.
+        An invalid entry still counts if it tells that a listed backend drains or is gone.
         """
-        self._spoilt = False
-        listings, named = (
-            [],
-            {
-                entry.get(protocol.BACKEND_ID)
-                for entry in entries
-                if isinstance(entry, dict) and isinstance(entry.get(protocol.BACKEND_ID), str)
-            },
-        )
+        self._has_invalid_entries = False
+        listings = []
+        listed_ids = {
+            entry.get(protocol.BACKEND_ID)
+            for entry in entries
+            if isinstance(entry, dict) and isinstance(entry.get(protocol.BACKEND_ID), str)
+        }
         for entry in entries:
             listing = self.translator.read_listing(entry)
             if isinstance(listing, InvalidMessage):
                 self.runtime.rate_limited_log.warning("bad_listing", why=listing.why)
-                self._spoilt = True
-                listing = self._leaving(entry)
+                self._has_invalid_entries = True
+                listing = self._read_leaving_entry(entry)
             if listing is not None:
                 listings.append(listing)
-        return listings, named
-
-    def _leaving(self, entry: object) -> Listing | None:
-        """A backend that is listed, as an entry that is spoilt elsewhere has it drain or gone."""
-        found = self.translator.read_leaving(entry)
-        former = None if isinstance(found, InvalidMessage) else self.registry.listings.get(found[0])
-        return former and replace(former, phase=found[1])
-
-    def _keep(self, listings: list[Listing]) -> None:
-        for one in listings:
-            if one.phase is Phase.GONE:
-                self.registry.listings.pop(one.backend, None)
+        return listings, listed_ids
+
+    def _read_leaving_entry(self, entry: object) -> Listing | None:
+        """Return a listing whose invalid entry has the backend drain or gone, with that phase.
+
+        Return None if the entry does not say so, or the backend is not listed.
+        """
+        leaving = self.translator.read_leaving(entry)
+        known = (
+            None if isinstance(leaving, InvalidMessage) else self.registry.listings.get(leaving[0])
+        )
+        return known and replace(known, phase=leaving[1])
+
+    def _store_listings(self, listings: list[Listing]) -> None:
+        """Update the registry's listings; those of gone backends are removed."""
+        for listing in listings:
+            if listing.phase is Phase.GONE:
+                self.registry.listings.pop(listing.backend, None)
             else:
-                self.registry.listings[one.backend] = one
+                self.registry.listings[listing.backend] = listing
