--- a/lifthinge/wire/connection.py
+++ b/lifthinge/wire/connection.py
@@ -1,4 +1,4 @@
-"""What all connections have in common: one buffer, a slot in the table, and an end to every exception."""
+"""Base of all connections: one receive buffer, a slot in the runtime's table, caught exceptions."""
 
 import asyncio
 import logging
@@ -10,34 +10,44 @@
 from lifthinge.wire.buffer import Buffer
 
 log = logging.getLogger(__name__)
-CONNECT_WAIT = 400.0  # ms until a connection must be up
-UNREAD_MOST = 128 << 10  # bytes that a peer may leave unread
+CONNECT_TIMEOUT_MS = 400.0
+MAX_UNREAD_BYTES = 128 << 10  # written and not yet taken by the kernel, as the peer does not read
 
 
 class Connection(asyncio.BufferedProtocol):
-    """Subclasses say what is done with what has come, at the peer's end, and when all is lost."""
+    """A stream connection; subclasses override `on_data`, `on_eof` and `on_closed`.
+
+    An exception in one of these is logged and aborts the connection. The receive buffer starts at
+    `initial_buffer_bytes` and grows to `max_buffer_bytes`; a buffer that stays full aborts the
+    connection.
+    """
 
     kind = "connection"
-    max_unread_bytes = UNREAD_MOST
+    max_unread_bytes = MAX_UNREAD_BYTES
 
-    def __init__(self, runtime: Runtime, limit: int, first: int = 4096) -> None:
-        self.runtime, self.buffer = runtime, Buffer(limit, first)
+    def __init__(
+        self, runtime: Runtime, max_buffer_bytes: int, initial_buffer_bytes: int = 4096
+    ) -> None:
+        self.runtime = runtime
+        self.buffer = Buffer(max_buffer_bytes, initial_buffer_bytes)
         self.transport: asyncio.Transport | None = None
-        self.handle: int | None = None
-        self.has_unsent_data = False  # bytes of ours have not left
+        self.handle: int | None = None  # in the runtime's table of connections
+        self.has_unsent_data = False  # whether written bytes have not been taken by the kernel
         self.is_closed = False
         self.last_received_at = runtime.now
 
     def on_data(self) -> None:
+        """Handle the data in the buffer."""
         raise NotImplementedError
 
     def on_eof(self) -> None:
-        """The peer sends no more."""
+        """Handle the end of the peer's data."""
 
     def on_closed(self) -> None:
-        """The connection is no more."""
+        """Handle the loss of the connection."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection; abort it if the runtime's table is full."""
         self.transport = transport
         transport.set_write_buffer_limits(high=0)
         self.handle = self.runtime.connections.put(self)
@@ -48,33 +58,43 @@
             self.abort()
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """Return the free part of the buffer, for the event loop to receive into."""
         return self.buffer.writable_view()
 
     def buffer_updated(self, nbytes: int) -> None:
+        """Handle received bytes; abort if they leave the buffer full."""
         self.buffer.commit_write(nbytes)
         self.last_received_at = self.runtime.now
-        self._guard(self.on_data)
+        self._call_or_abort(self.on_data)
         if self.buffer.is_full and not self.is_closed:
             self.runtime.rate_limited_log.warning("buffer_full", kind=self.kind)
             self.abort()
 
     def eof_received(self) -> bool:
-        self._guard(self.on_eof)
+        """Handle the end of the peer's data; the transport is then closed."""
+        self._call_or_abort(self.on_eof)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Free the connection's slot and call `on_closed`."""
         self.is_closed = True
         if self.handle is not None:
             self.runtime.connections.free(self.handle)
-        self._guard(self.on_closed)
+        self._call_or_abort(self.on_closed)
 
     def pause_writing(self) -> None:
+        """Note that written bytes wait to be sent."""
         self.has_unsent_data = True
 
     def resume_writing(self) -> None:
+        """Note that all written bytes have been sent."""
         self.has_unsent_data = False
 
     def write(self, data: bytes) -> None:
+        """Send bytes, or mark them unsent if the connection is closing.
+
+        Abort the connection if the peer has left too many bytes unread.
+        """
         if self.is_closed or self.transport is None or self.transport.is_closing():
             self.has_unsent_data = True
             return
@@ -84,32 +104,36 @@
             self.abort()
 
     def abort(self) -> None:
-        """Ends the connection; `gone` follows."""
+        """Close the connection at once, without sending buffered data; `on_closed` follows."""
         if self.transport is not None and not self.is_closed:
             self.is_closed = True
             self.transport.abort()
 
-    def _guard(self, step: Callable[[], None]) -> None:
+    def _call_or_abort(self, callback: Callable[[], None]) -> None:
+        """Call a handler; log an exception of it and abort the connection."""
         try:
-            step()
-        except Exception as error:  # whatever it is, it ends here, and the connection with it
+            callback()
+        except Exception as error:
             self.runtime.counters.add("connection_failed")
             log.error("connection_failed", {"kind": self.kind, "error": repr(error)}, exc_info=True)
             self.abort()
 
 
-C = TypeVar("C", bound=Connection)
+ConnectionT = TypeVar("ConnectionT", bound=Connection)
 
 
-async def connect(runtime: Runtime, make: Callable[[], C], where: tuple[str, int]) -> C | Failure:
-    """A connection that is up, or why there is none."""
+async def connect(
+    runtime: Runtime, make_connection: Callable[[], ConnectionT], address: tuple[str, int]
+) -> ConnectionT | Failure:
+    """Open a connection made by `make_connection` to a host and port; return it or the failure."""
     loop = asyncio.get_running_loop()
-    task = loop.create_task(loop.create_connection(make, *where))
-    deadline = runtime.deadlines.set(CONNECT_WAIT, task.cancel)
+    task = loop.create_task(loop.create_connection(make_connection, *address))
+    deadline = runtime.deadlines.set(CONNECT_TIMEOUT_MS, task.cancel)
     try:
         _, connection = await task
     except asyncio.CancelledError:
-        if deadline.is_pending:  # it was not the deadline: this call itself is called off
+        # A pending deadline shows that this call itself was cancelled.
+        if deadline.is_pending:
             task.cancel()
             raise
         return Failure(SendProgress.NOT_SENT, FailureCause.UNREACHABLE, "no connection in time")
--- a/lifthinge/wire/protocol.py
+++ b/lifthinge/wire/protocol.py
@@ -1,74 +1,87 @@
-"""The names that the sockets use, in one table; they are used nowhere else."""
+"""All names that messages and HTTP requests have on the wire; no other module spells them out."""
 
 from lifthinge.interface import Phase
 
-# Messages at the controller's address, and news from the relay
-MESSAGE_TYPE, EVENT_TYPE, EVENT_FIELDS = "t", "type", "object"
-HEARTBEAT, HEARTBEAT_REPLY, COLLECTOR_HELLO, REJECT = "hb", "hb_ok", "telemetry", "reject"
-ATTEMPTS_REPORT, SLICE_HEAT, PROXY_LOAD = "upstream_stats", "range_stats", "client_stats"
-PROXY_JOINED, PROXY_LEFT, SEAL_CONFIRMED, SLICE_LEASED, TABLE_LINE = (
-    "attach",
-    "detach",
-    "done",
-    "owner",
-    "entry",
-)
+# Messages at the controller's listen address, and events of the relay's stream
+MESSAGE_TYPE = "t"
+EVENT_TYPE = "type"
+EVENT_FIELDS = "object"
+HEARTBEAT = "hb"
+HEARTBEAT_REPLY = "hb_ok"
+COLLECTOR_HELLO = "telemetry"
+REJECT = "reject"
+ATTEMPTS_REPORT = "upstream_stats"
+SLICE_HEAT = "range_stats"
+PROXY_LOAD = "client_stats"
+PROXY_JOINED = "attach"
+PROXY_LEFT = "detach"
+SEAL_CONFIRMED = "done"
+SLICE_LEASED = "owner"
+STORED_ENTRY = "entry"
 
-# Their fields
-ZONE, BACKEND, SLICE, PROXY, METHOD = "zone", "server", "slice", "proxy", "class"
-ATTEMPTS, ABORTED_ATTEMPTS, MEAN_LATENCY_MS, SPAN_MS, LOAD = (
-    "tries",
-    "failed",
-    "mean_ms",
-    "span_ms",
-    "load",
-)
-WEIGHT, IS_FRESH, CONFIRMED_SEAL, SEAL_LATENCY_MS, IS_LEASED = (
-    "weight",
-    "fresh",
-    "mark",
-    "took_ms",
-    "on",
-)
+# Fields of these messages and events
+ZONE = "zone"
+BACKEND = "server"
+SLICE = "slice"
+PROXY = "proxy"
+METHOD = "class"
+ATTEMPTS = "tries"
+ABORTED_ATTEMPTS = "failed"
+MEAN_LATENCY_MS = "mean_ms"
+SPAN_MS = "span_ms"
+LOAD = "load"
+WEIGHT = "weight"
+IS_FRESH = "fresh"
+CONFIRMED_SEAL = "mark"
+SEAL_LATENCY_MS = "took_ms"
+IS_LEASED = "on"
 
-# The relay
-TRANSACTION_PATH, WATCH_PATH = "/v3/kv/txn", "/v3/kv/watch"
-ORDERS, ACCEPTED = "orders", "accepted"
-ACTION, SET_WEIGHT, CLEAR_TABLE, BIND_PROXY, WITHDRAW, REINSTATE, SET_LEVEL, SEAL = (
-    "do",
-    "SET",
-    "DEL",
-    "USE",
-    "OUT",
-    "IN",
-    "LIMIT",
-    "SYNC",
-)
-TABLE, ALL_TABLES, METHODS, ADMITTED_LEVEL, RETRY_POLICY, SEAL_NUMBER, SEAL_EVERYONE = (
-    "group",
-    "*",
-    "routes",
-    "admit",
-    "policy",
-    "nonce_out",
-    "on",
-)
-ERROR, THROTTLED, INVALID = "error", "throttled", "invalid"
+# Calls to the relay, and its event stream
+TRANSACTION_PATH = "/v3/kv/txn"
+WATCH_PATH = "/v3/kv/watch"
+ORDERS = "orders"
+ACCEPTED = "accepted"
+# The field that tells an order's action, and the actions
+ACTION = "do"
+SET_WEIGHT = "SET"
+CLEAR_TABLE = "DEL"
+BIND_PROXY = "USE"
+WITHDRAW = "OUT"
+REINSTATE = "IN"
+SET_LEVEL = "LIMIT"
+SEAL = "SYNC"
+# Other fields of orders
+TABLE = "group"
+ALL_TABLES = "*"
+METHODS = "routes"
+ADMITTED_LEVEL = "admit"
+RETRY_POLICY = "policy"
+SEAL_NUMBER = "nonce_out"
+SEAL_ALL_PROXIES = "on"
+# Error answers
+ERROR = "error"
+THROTTLED = "throttled"
+INVALID = "invalid"
 
 # Discovery and probes
-LIST_PATH, HEALTH_PATH, LOAD_PATH = "/v1/endpoints", "/health", "/status/load"
-SINCE_VERSION, WATCH_TIMEOUT_MS = "since", "timeout_ms"
-LIST_VERSION, IS_FULL_LIST, BACKEND_LIST = "version", "full", "servers"
-BACKEND_ID, BACKEND_ADDRESS, CELL, BACKEND_STATE, STARTED_MS = (
-    "id",
-    "addr",
-    "cell",
-    "state",
-    "started_ms",
-)
+LIST_PATH = "/v1/endpoints"
+HEALTH_PATH = "/health"
+LOAD_PATH = "/status/load"
+# Parameters of a watch
+SINCE_VERSION = "since"
+WATCH_TIMEOUT_MS = "timeout_ms"
+# The fleet list and its entries
+LIST_VERSION = "version"
+IS_FULL_LIST = "full"
+BACKEND_LIST = "servers"
+BACKEND_ID = "id"
+BACKEND_ADDRESS = "addr"
+CELL = "cell"
+BACKEND_STATE = "state"
+STARTED_MS = "started_ms"
 PHASE_BY_STATE = {"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE}
 
-# A load value's name in the settings, and on the sockets
+# Names of load values in the settings, and the names that they have on the wire
 LOAD_FIELD_NAMES = {
     "utilization": "util",
     "throughput": "qps",
--- a/lifthinge/wire/translator.py
+++ b/lifthinge/wire/translator.py
@@ -161,7 +161,7 @@
             protocol.PROXY_LEFT: self._read_proxy_left,
             protocol.SEAL_CONFIRMED: self._read_seal_confirmed,
             protocol.SLICE_LEASED: self._read_slice_lease_changed,
-            protocol.TABLE_LINE: self._read_stored_entry,
+            protocol.STORED_ENTRY: self._read_stored_entry,
         }
         self._order_encoders: dict[type, Callable[[Any], dict[str, Any]]] = {
             SetEntry: lambda order: {
@@ -187,7 +187,7 @@
             Seal: lambda order: {
                 protocol.ACTION: protocol.SEAL,
                 protocol.SEAL_NUMBER: order.number,
-                protocol.SEAL_EVERYONE: int(order.all_proxies),
+                protocol.SEAL_ALL_PROXIES: int(order.all_proxies),
             },
         }
 
