--- a/lifthinge/raft/node.py
+++ b/lifthinge/raft/node.py
@@ -55,7 +55,7 @@
 )
 from lifthinge.raft.progress import Progress, ReplicationMode
 
-NEVER = float("inf")
+NEVER = float("inf")  # as a time in ms
 # Fraction of the election timeout after which unanswered messages count as lost.
 LOSS_TIMEOUT_FRACTION = 0.5
 # Entries before the snapshot are retained, so that a slightly lagging follower needs no snapshot.
@@ -78,12 +78,12 @@
 
     NOT_LEADER = "not_leader"
     BUSY = "busy"  # a limit on pending work is reached
-    TOO_LARGE = "too_large"
+    TOO_LARGE = "too_large"  # the entry exceeds `max_entry_bytes`
     NOT_READY = "not_ready"  # the leader has not yet committed an entry of its term
     CHANGING = "changing"  # a membership change or leadership transfer is in progress
-    UNKNOWN_MEMBER = "unknown_member"
-    KNOWN_MEMBER = "known_member"
-    LAST_VOTER = "last_voter"
+    UNKNOWN_MEMBER = "unknown_member"  # no such member to remove, or no such voter to transfer to
+    KNOWN_MEMBER = "known_member"  # the member to add is already one
+    LAST_VOTER = "last_voter"  # its removal would leave no voter
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,7 +128,8 @@
 class Write:
     """One change of the persistent state, to be made durable after all earlier writes.
 
-    It applies in this order: term and vote, snapshot, truncation, entries.
+    It applies in this order: term and vote, truncation, the entries that the snapshot covers,
+    snapshot, the other entries.
     """
 
     number: int
@@ -169,7 +170,10 @@
 
 
 class Raft:
-    """The protocol state of one member."""
+    """The protocol state of one member, started at the time `now` (ms) from its `saved` state.
+
+    `rng` draws election timeouts and the numbers of forwarded reads.
+    """
 
     def __init__(
         self,
@@ -252,6 +256,7 @@
         if message_type is RequestVote:
             self._handle_request_vote(sender, message)
             return
+        # A granted pre-vote bears the term of the coming campaign, which has not begun (9.6).
         if message.term > self.term and not (
             message_type is RequestVoteReply and message.is_pre_vote and message.granted
         ):
@@ -380,7 +385,7 @@
     def is_sending_snapshot(self) -> bool:
         """Whether a snapshot is being sent to a responsive member.
 
-        A new snapshot would make that transfer start again.
+        A new snapshot would have to be sent from its first chunk again.
         """
         return any(
             progress.mode is ReplicationMode.SNAPSHOT
@@ -388,14 +393,14 @@
             for progress in self.progress.values()
         )
 
-    def has_recent_quorum(self, now: float, within: float) -> bool:
-        """Whether a quorum was in contact within the last `within` ms.
+    def has_recent_quorum(self, now: float, within_ms: float) -> bool:
+        """Whether a quorum was in contact within the last `within_ms` ms.
 
         A leader judges by its followers' replies; a follower by messages from its leader.
         """
         if self.role is Role.LEADER:
-            return self.log.configuration.has_quorum(self._members_heard_since(now - within))
-        return self.leader is not None and now - self.leader_heard_at <= within
+            return self.log.configuration.has_quorum(self._members_heard_since(now - within_ms))
+        return self.leader is not None and now - self.leader_heard_at <= within_ms
 
     def take_output(self) -> Output:
         """Return the pending work and start a new, empty output.
@@ -410,6 +415,7 @@
         if self._current_write is not None:
             write, self._current_write = self._current_write, None
             self._output.writes.append(write)
+            # A write without entries adds nothing to what is durable beyond the snapshot.
             last_entry = write.entries[-1] if write.entries else None
             index, term = (
                 (last_entry.index, last_entry.term)
@@ -424,6 +430,7 @@
         """Record that all writes up to `number` are durable; release the messages held for them."""
         while self._writes_in_flight and self._writes_in_flight[0][0] <= number:
             _, index, term, self.durable_term = self._writes_in_flight.popleft()
+            # An entry that was replaced meanwhile does not count.
             if term == self.log.term_at(index) is not None:
                 self.durable_index = max(self.durable_index, index)
         self._durable_write_number = max(self._durable_write_number, number)
@@ -441,6 +448,7 @@
         elif self.role is Role.LEADER:
             self._advance_commit_index()
         elif self.leader and self.leader_match_index and self.durable_term == self.term:
+            # Report the durable entries unasked; the round 0 confirms no heartbeat round.
             self._send(
                 self.leader,
                 AppendEntriesReply(
@@ -472,7 +480,7 @@
         """Return the position of the first entry that the log lacks or holds with another term.
 
         Only from there on is the log truncated: a delayed AppendEntries may end before entries that
-        the log holds already (paper, 5.3; dissertation 3.5).
+        the log holds already (paper, 5.3; dissertation 3.5). Without a conflict, return the length.
         """
         return next(
             (
@@ -528,6 +536,7 @@
         A voter whose removal is not committed yet may (4.2.2): if only it held the entry that
         removes it, no other voter could win an election.
         """
+        # While a change is not committed, the configuration before it counts, too.
         configurations = (
             self.log.configurations
             if self.log.configuration_index > self.commit_index
@@ -804,12 +813,12 @@
             self._advance_commit_index()
             self._continue_transfer()
         else:
-            last_matching_index = (
+            last_index_of_conflict_term = (
                 self.log.last_index_of_term(reply.conflict_term) if reply.conflict_term else None
             )
             progress.record_rejection(
                 reply.prev_log_index,
-                (last_matching_index or reply.conflict_index - 1) + 1,
+                (last_index_of_conflict_term or reply.conflict_index - 1) + 1,
                 self.now,
             )
         self._answer_confirmed_reads()
@@ -830,7 +839,10 @@
         self._answer_confirmed_reads()
 
     def _advance_commit_index(self) -> None:
-        """Commit the entries that are durable on a majority of the voters."""
+        """Commit the entries that are durable on a majority of the voters.
+
+        The leader counts itself only for its own durable entries (10.2.1).
+        """
         voters = self.log.configuration.voters
         if not voters:
             return
--- a/lifthinge/raft/stored_state.py
+++ b/lifthinge/raft/stored_state.py
@@ -71,7 +71,7 @@
         self.entries = [entry for entry in self.entries if entry.index > snapshot.index]
 
     def apply_write(self, write: Write) -> None:
-        """Apply one write of the protocol; its parts apply in the order that `Write` documents."""
+        """Apply one write of the protocol, in the order that `Write` documents."""
         if write.has_vote:
             self.set_vote(write.term, write.voted_for)
         if write.truncate_from is not None:
