--- a/lifthinge/service/__init__.py
+++ b/lifthinge/service/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: environment, logging, signals, and the controller around the decisions."""
+"""The processes of a controller and of a cluster member: configuration, logging, start and stop."""
--- a/lifthinge/service/agreed_source.py
+++ b/lifthinge/service/agreed_source.py
@@ -1,4 +1,4 @@
-"""The agreed document on its way to the decisions: ids become objects here, and `until` is watched."""
+"""The agreed document as events: its names become objects, and its expiry times are watched."""
 
 import logging
 from collections.abc import Callable
@@ -20,7 +20,11 @@
 
 
 class AgreedDocumentSource:
-    """Makes the event `OperatorOverrides` of the document that is obeyed, whenever it or the list of backends changes."""
+    """Makes the latest agreed document an `OperatorOverrides` event.
+
+    The event is published for each new document, and when an entry of it expires; after a change of
+    the fleet list the controller asks for it.
+    """
 
     def __init__(
         self,
@@ -32,63 +36,87 @@
         publish: Callable[[list[Event]], None],
         keys: KeyFile,
     ) -> None:
-        self.runtime, self.registry, self.site, self.publish = runtime, registry, site, publish
+        self.runtime = runtime
+        self.registry = registry
+        self.site = site
+        self.publish = publish
         self.document: Document | None = None
-        self._deadline: Any = None
+        self._deadline: Any = None  # at the next expiry of an entry
         members = {member: split_address(address) for member, address in part.members.items()}
-        self.follower = DocumentFollower(runtime, members, part.cluster, name, keys, self._told)
+        self.follower = DocumentFollower(
+            runtime, members, part.cluster, name, keys, self._on_version
+        )
 
-    def _told(self, one: client_messages.VersionReply) -> None:
-        found = read_document(msgspec.msgpack.decode(one.body))
-        if isinstance(found, Fault):
+    def _on_version(self, reply: client_messages.VersionReply) -> None:
+        """Publish a new document; one that can't be used leaves the last in force."""
+        document = read_document(msgspec.msgpack.decode(reply.body))
+        if isinstance(document, Fault):
             self.runtime.rate_limited_log.warning(
-                "agreed_unusable", version=one.version, key=found.key, why=found.why
+                "agreed_unusable", version=reply.version, key=document.key, why=document.why
             )
             return
-        self.document = found
+        self.document = document
         log.info(
             "agreed",
             {
-                "version": one.version,
-                "term": one.term,
-                "index": one.index,
-                "author": one.author,
-                "out": len(found.backends),
+                "version": reply.version,
+                "term": reply.term,
+                "index": reply.index,
+                "author": reply.author,
+                "out": len(document.backends),
             },
         )
         self.publish([self.current_event()])
 
     def current_event(self) -> OperatorOverrides:
-        """What the document says now, in objects; names that this deployment does not know mean nothing to it."""
-        document, now = self.document or Document(), self.runtime.now
-        out = [one for one in document.backends if not one.until or one.until > now]
-        later = [one.until for one in out if one.until]
+        """Return what the document says now, and watch for the next expiry of an entry.
+
+        Zones and methods that this deployment does not have are left out, as are backends that
+        would be one too many.
+        """
+        document = self.document or Document()
+        now = self.runtime.now
+        out_of_service = [
+            entry for entry in document.backends if not entry.until or entry.until > now
+        ]
+        expiry_times_ms = [entry.until for entry in out_of_service if entry.until]
         if self._deadline is not None:
             self._deadline.cancel()
         self._deadline = (
             self.runtime.deadlines.schedule(
-                min(later) - now, lambda: self.publish([self.current_event()])
+                min(expiry_times_ms) - now, lambda: self.publish([self.current_event()])
             )
-            if later
+            if expiry_times_ms
             else None
         )
-        zones, methods = self.site.zones, self.site.methods
+        zones = self.site.zones
+        methods = self.site.methods
         return OperatorOverrides(
-            [found for one in out if (found := self.registry.get_or_add_backend(one.id))],
-            {zones.index(one.name): one.share for one in document.zones if one.name in zones},
+            [
+                backend
+                for entry in out_of_service
+                if (backend := self.registry.get_or_add_backend(entry.id))
+            ],
+            {
+                zones.index(entry.name): entry.share
+                for entry in document.zones
+                if entry.name in zones
+            },
             {
-                methods.index(one.name): one.criticality
-                for one in document.methods
-                if one.name in methods
+                methods.index(entry.name): entry.criticality
+                for entry in document.methods
+                if entry.name in methods
             },
         )
 
     def close(self) -> None:
+        """Stop following the document and watching for expiry."""
         self.follower.close()
         if self._deadline is not None:
             self._deadline.cancel()
 
 
 def open_key_file(part: AgreedPart) -> KeyFile | KeyFileProblem:
+    """Return the key file, or why it can't be used."""
     keys = read_keys(part.key_file)
     return keys if isinstance(keys, KeyFileProblem) else KeyFile(part.key_file, keys)
--- a/lifthinge/service/config.py
+++ b/lifthinge/service/config.py
@@ -1,4 +1,4 @@
-"""What the environment and the configuration tell a controller of where it stands."""
+"""A controller's configuration: environment variables and the JSON file that one of them names."""
 
 import json
 from collections.abc import Mapping
@@ -9,24 +9,26 @@
 from lifthinge.settings import SettingsError, SiteLayout, read_layout, read_settings
 from lifthinge.wire.translator import parse_address
 
-SOCKETS_LEAST, MEMORY_LEAST = 64, 24
-MEMORY_USUAL = 192  # MB, where the configuration says nothing
-FOLLOWED = {"discovery", "relay"}  # what a new configuration may move
-OF_A_START = {"known", "seed"}  # what means nothing to a program that runs
-Address = tuple[str, int]
+MIN_SOCKETS = 64
+MIN_MEMORY_MB = 24
+DEFAULT_MEMORY_MB = 192  # where the configuration does not set it
+RELOADABLE_FIELDS = {"discovery", "relay"}  # taken from a new configuration without a restart
+START_ONLY_FIELDS = {"known", "seed"}  # used at the start only, so a change needs no restart
+Address = tuple[str, int]  # host and port
 
 
 class StartupError(Exception):
-    """The program can't start; `key` names what is at fault."""
+    """The program can't start; `key` names the variable, setting or file key at fault."""
 
     def __init__(self, key: str, why: str) -> None:
         super().__init__(f"{key}: {why}")
-        self.key, self.why = key, why
+        self.key = key
+        self.why = why
 
 
 @dataclass(frozen=True)
 class ControllerConfig:
-    """Where this controller stands, and among whom."""
+    """The addresses, limits and settings of a controller."""
 
     name: str
     listen: Address
@@ -34,17 +36,20 @@
     relay: Address
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    peers_all: Address | None
+    peers_all: Address | None  # an address that reaches all peers at once
     seed: int
-    sockets: int
-    memory_mb: float
-    known: dict[str, Any]
+    sockets: int  # limit
+    memory_mb: float  # limit
+    known: dict[str, Any]  # the fleet list as last held, maybe out of date
     terms: SiteSettings
     site: SiteLayout
 
 
-def read_config(environment: Mapping[str, str], anew: bool = False) -> ControllerConfig:
-    """What the program starts with; read anew, the configuration names discovery, too.
+def read_config(environment: Mapping[str, str], is_reload: bool = False) -> ControllerConfig:
+    """Read the configuration from environment variables and the file that they name.
+
+    At a start, ROUTER_DISCOVERY holds the address of discovery; at a reload, the file does, as the
+    environment of a running process does not change. Raises StartupError if a value can't be used.
 
     >>> read_config({"ROUTER_NAME": "n3"})
     Traceback (most recent call last):
@@ -54,7 +59,7 @@
     for key in ("ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG"):
         if not environment.get(key):
             raise StartupError(key, "missing")
-    listen = _address("ROUTER_LISTEN", environment["ROUTER_LISTEN"])
+    listen = _read_address("ROUTER_LISTEN", environment["ROUTER_LISTEN"])
     try:
         with open(environment["ROUTER_CONFIG"], encoding="utf-8") as file:
             conf = json.load(file)
@@ -65,11 +70,11 @@
     if not isinstance(conf, dict):
         raise StartupError("ROUTER_CONFIG", "not an object")
     discovery = (
-        _address("discovery", conf.get("discovery"))
-        if anew
-        else _address("ROUTER_DISCOVERY", environment["ROUTER_DISCOVERY"])
+        _read_address("discovery", conf.get("discovery"))
+        if is_reload
+        else _read_address("ROUTER_DISCOVERY", environment["ROUTER_DISCOVERY"])
     )
-    limits = _part(conf, "limits")
+    limits = _read_object(conf, "limits")
     try:
         terms, site = read_settings(conf.get("settings")), read_layout(conf.get("settings"))
     except SettingsError as error:
@@ -81,63 +86,72 @@
         name=environment["ROUTER_NAME"],
         listen=listen,
         discovery=discovery,
-        relay=_address("distributor.address", _part(conf, "distributor").get("address")),
-        peer_listen=_address("peer_listen", conf.get("peer_listen")) if site.has_peers else None,
-        peers=tuple(_address("peers", one) for one in peers),
-        peers_all=_address("peers_all", conf["peers_all"])
+        relay=_read_address(
+            "distributor.address", _read_object(conf, "distributor").get("address")
+        ),
+        peer_listen=_read_address("peer_listen", conf.get("peer_listen"))
+        if site.has_peers
+        else None,
+        peers=tuple(_read_address("peers", peer) for peer in peers),
+        peers_all=_read_address("peers_all", conf["peers_all"])
         if site.has_peers and conf.get("peers_all")
         else None,
-        seed=_seed(conf.get("seed")),
-        sockets=_sockets(limits.get("sockets")),
-        memory_mb=_memory(limits.get("memory_mb", MEMORY_USUAL)),
-        known=_part(conf, "known"),
+        seed=_read_seed(conf.get("seed")),
+        sockets=_read_sockets(limits.get("sockets")),
+        memory_mb=_read_memory_mb(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
+        known=_read_object(conf, "known"),
         terms=terms,
         site=site,
     )
 
 
-def _part(conf: dict[str, Any], key: str) -> dict[str, Any]:
-    found = conf.get(key)
-    if not isinstance(found, dict):
+def _read_object(conf: dict[str, Any], key: str) -> dict[str, Any]:
+    """Return the object under a key of the file."""
+    value = conf.get(key)
+    if not isinstance(value, dict):
         raise StartupError(key, "not an object" if key in conf else "missing")
-    return found
+    return value
 
 
-def _address(key: str, text: Any) -> Address:
-    if text is None:
+def _read_address(key: str, value: Any) -> Address:
+    """Return the host and port of an address; `key` is named in an error."""
+    if value is None:
         raise StartupError(key, "missing")
     try:
-        return parse_address(text)
+        return parse_address(value)
     except ValueError as error:
         raise StartupError(key, str(error)) from None
 
 
-def _seed(text: Any) -> int:
+def _read_seed(value: Any) -> int:
+    """Return the seed, which the file holds as hexadecimal text."""
     try:
-        return int(text, 16)
+        return int(value, 16)
     except (TypeError, ValueError):
         raise StartupError(
-            "seed", "not a hexadecimal number" if text is not None else "missing"
+            "seed", "not a hexadecimal number" if value is not None else "missing"
         ) from None
 
 
-def _sockets(count: Any) -> int:
-    if type(count) is not int or count < SOCKETS_LEAST:
-        raise StartupError("limits.sockets", f"not a number of at least {SOCKETS_LEAST}")
-    return count
+def _read_sockets(value: Any) -> int:
+    """Return the limit of sockets."""
+    if type(value) is not int or value < MIN_SOCKETS:
+        raise StartupError("limits.sockets", f"not an integer of at least {MIN_SOCKETS}")
+    return value
 
 
-def _memory(megabytes: Any) -> float:
-    if type(megabytes) not in (int, float) or not MEMORY_LEAST <= megabytes < float("inf"):
-        raise StartupError("limits.memory_mb", f"not a number of at least {MEMORY_LEAST}")
-    return float(megabytes)
+def _read_memory_mb(value: Any) -> float:
+    """Return the limit of memory in MB."""
+    if type(value) not in (int, float) or not MIN_MEMORY_MB <= value < float("inf"):
+        raise StartupError("limits.memory_mb", f"not a finite number of at least {MIN_MEMORY_MB}")
+    return float(value)
 
 
-def fields_needing_restart(former: ControllerConfig, new: ControllerConfig) -> list[str]:
-    """What a new configuration says otherwise that only a start takes up."""
+def fields_needing_restart(old_config: ControllerConfig, new_config: ControllerConfig) -> list[str]:
+    """Return the names of changed fields that take effect only after a restart."""
     return [
-        one.name
-        for one in fields(ControllerConfig)
-        if one.name not in FOLLOWED | OF_A_START
-        and getattr(former, one.name) != getattr(new, one.name)
+        field.name
+        for field in fields(ControllerConfig)
+        if field.name not in RELOADABLE_FIELDS | START_ONLY_FIELDS
+        and getattr(old_config, field.name) != getattr(new_config, field.name)
     ]
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -1,4 +1,4 @@
-"""The controller: gathers the events of a loop turn, lets the module decide once, hands the orders on."""
+"""The controller: collects events, has them decided on once each loop turn, carries out orders."""
 
 import asyncio
 import logging
@@ -46,45 +46,64 @@
 from lifthinge.wire.translator import MessageTranslator
 
 log = logging.getLogger(__name__)
-WORK_REST = 250.0  # ms until a line of work that failed goes on
-DISCOVERY_WAIT = 1_000.0  # ms after the start, until the list last held must do
-INBOUND_PART = 0.5  # of the stated sockets
-INBOUND_PER_MB = 4  # of the stated memory: a stranger takes some 10 KiB
+TASK_RESTART_DELAY_MS = 250.0  # until a background task that failed is started again
+# After the start; then the controller decides by the fleet list in its configuration.
+MAX_DISCOVERY_WAIT_MS = 1_000.0
+MAX_INBOUND_FRACTION_OF_SOCKETS = 0.5  # of the configured sockets
+# Inbound connections for each MB of configured memory; one that has not joined takes about 10 KiB.
+MAX_INBOUND_PER_MB = 4
 
 
-def _inbound(config: ControllerConfig) -> int:
-    """How many connections may have come in: bounded by the stated sockets, and by the memory."""
-    return int(min(config.sockets * INBOUND_PART, config.memory_mb * INBOUND_PER_MB))
+def _max_inbound_connections(config: ControllerConfig) -> int:
+    """Return the limit of inbound connections: by configured sockets and by configured memory."""
+    return int(
+        min(config.sockets * MAX_INBOUND_FRACTION_OF_SOCKETS, config.memory_mb * MAX_INBOUND_PER_MB)
+    )
 
 
 class DecisionModule(Protocol):
-    """What decides: `lifthinge.policy.Policy`."""
+    """The decision module: `lifthinge.policy.Policy`, or a capture in front of it."""
 
-    def decide(self, now: float, events: Iterable[Event]) -> list[Order]: ...
+    def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
+        """Return the orders that follow from events; `now` is in ms of Unix time."""
+        ...
 
 
 class AgreedSource(Protocol):
-    """Where the agreed document comes from: `lifthinge.service.agreed_source.AgreedDocumentSource`."""
+    """The source of the document that operators agreed on.
 
-    def current_event(self) -> Event: ...
+    It is `lifthinge.service.agreed_source.AgreedDocumentSource`.
+    """
 
-    def close(self) -> None: ...
+    def current_event(self) -> Event:
+        """Return what the document says now."""
+        ...
+
+    def close(self) -> None:
+        """Stop following the document."""
+        ...
 
 
 class Controller:
-    """Owns everything that belongs to one controller; settings say what of it exists."""
+    """Owns the connections and tasks of one controller; the settings say which of them it has.
+
+    Clients and servers publish events. All events of a loop turn are passed to the decision module
+    together. Orders for the relay are submitted to it, the others are carried out at once.
+    """
 
     def __init__(self, config: ControllerConfig, runtime: Runtime, policy: DecisionModule) -> None:
-        self.config, self.runtime, self.policy, self.registry, self.pending_orders = (
-            config,
-            runtime,
-            policy,
-            Registry(),
-            PendingOrders(),
-        )
+        self.config = config
+        self.runtime = runtime
+        self.policy = policy
+        self.registry = Registry()
+        self.pending_orders = PendingOrders()
         self.translator = MessageTranslator(config.site, self.registry)
         self.inbound_server = InboundServer(
-            runtime, self.translator, _inbound(config), lambda: self.is_ready, self.publish
+            runtime,
+            self.translator,
+            _max_inbound_connections(config),
+            lambda: self.is_ready,
+            self.publish,
         )
         self.relay = RelayClient(
             runtime,
@@ -92,8 +111,8 @@
             self.pending_orders,
             config.relay,
             lambda: self.publish([]),
-            self._refused,
-            self._given_up,
+            self._on_order_refused,
+            self._on_call_abandoned,
         )
         self.relay_watch = RelayWatch(
             runtime,
@@ -101,98 +120,114 @@
             self.registry,
             self.pending_orders,
             config.relay,
-            self._tell_news,
+            self._on_relay_events,
         )
         self.discovery = DiscoveryClient(
-            runtime, self.translator, self.registry, config.discovery, self._tell_list
+            runtime, self.translator, self.registry, config.discovery, self._on_fleet_news
         )
         self.agreed_source: AgreedSource | None = None
         self.prober = Prober(
-            runtime, self.translator, self.registry, lambda found: self.publish([found])
+            runtime, self.translator, self.registry, lambda result: self.publish([result])
         )
         self.peers = PeerTransport(
             runtime,
             list(config.peers),
             config.peers_all,
             config.site.controller_number,
-            lambda note: self.publish([note]),
+            lambda message: self.publish([message]),
         )
-        self.is_ready = False  # it can decide, and knows what stands
-        self._late = False  # discovery need not be waited for any longer
-        self._turn_due = False
+        # Whether the last decision succeeded, and the initial state and a fleet list are known.
+        self.is_ready = False
+        self._is_discovery_overdue = False  # whether MAX_DISCOVERY_WAIT_MS have passed
+        self._is_turn_scheduled = False
         self._events: list[Event] = []
-        self._tasks: dict[asyncio.Task, str] = {}
-        self._carry: dict[type, Callable[[Any], None]] = {
-            SetTimer: lambda o: self.runtime.deadlines.schedule(
-                o.delay_ms, lambda: self.publish([TimerDue(o.handle)])
+        self._tasks: dict[asyncio.Task, str] = {}  # task -> its name
+        # Order type -> what carries it out, for all orders but those to the relay.
+        self._order_handlers: dict[type, Callable[[Any], None]] = {
+            SetTimer: lambda order: self.runtime.deadlines.schedule(
+                order.delay_ms, lambda: self.publish([TimerDue(order.handle)])
             ),
-            Probe: lambda o: self.prober.probe(o.backend),
-            SendToPeers: lambda o: self.peers.send(o.peer, o.content),
-            RepeatCall: lambda o: self.relay.allow_repeat(o.seal),
-            LogDecision: lambda o: log.info("decided", {"what": o.text}),
-            FollowFleetList: lambda o: self._follow(o.enabled),
-            ForgetBackend: lambda o: self.registry.forget(o.backend),
-            FetchFleetList: lambda o: self._run("fetch", self.discovery.fetch_list),
+            Probe: lambda order: self.prober.probe(order.backend),
+            SendToPeers: lambda order: self.peers.send(order.peer, order.content),
+            RepeatCall: lambda order: self.relay.allow_repeat(order.seal),
+            LogDecision: lambda order: log.info("decided", {"what": order.text}),
+            FollowFleetList: lambda order: self._set_list_watch(order.enabled),
+            ForgetBackend: lambda order: self.registry.forget(order.backend),
+            FetchFleetList: lambda order: self._start_task("fetch", self.discovery.fetch_list),
         }
 
     async def start(self) -> None:
-        found = self.discovery.load_known_list(self.config.known)
-        if found:
-            self.runtime.rate_limited_log.warning("known_unusable", why=found.why)
+        """Load the configured fleet list, open the sockets and start the background tasks.
+
+        Raises StartupError if an address can't be bound.
+        """
+        problem = self.discovery.load_known_list(self.config.known)
+        if problem:
+            self.runtime.rate_limited_log.warning("known_unusable", why=problem.why)
         await self._bind("ROUTER_LISTEN", self.inbound_server.open(self.config.listen))
         if self.config.peer_listen:
             await self._bind("peer_listen", self.peers.open(self.config.peer_listen))
-        self._run("relay", self.relay.run)
-        self._run("news", self.relay_watch.run)
+        self._start_task("relay", self.relay.run)
+        self._start_task("news", self.relay_watch.run)
         if not self.config.site.news_on_request:
-            self._follow(True)
+            self._set_list_watch(True)
         if self.agreed_source is not None:
-            self._run("agreed", self.agreed_source.follower.run)
-        self.runtime.deadlines.schedule(DISCOVERY_WAIT, self._wait_no_more)
+            self._start_task("agreed", self.agreed_source.follower.run)
+        self.runtime.deadlines.schedule(MAX_DISCOVERY_WAIT_MS, self._on_discovery_overdue)
 
-    def set_agreed_source(self, agreed: "AgreedSource") -> None:
-        """From the start on, an agreed document is followed, too."""
-        self.agreed_source = agreed
+    def set_agreed_source(self, agreed_source: "AgreedSource") -> None:
+        """Follow an agreed document, too; to be called before the start."""
+        self.agreed_source = agreed_source
 
-    def _tell_list(self, news: FleetNews) -> None:
-        """A list may bring backends that the agreed document names."""
+    def _on_fleet_news(self, news: FleetNews) -> None:
+        """Publish fleet news, and the agreed document after it.
+
+        The news may bring backends that the document names.
+        """
         self.publish(
             [news] if self.agreed_source is None else [news, self.agreed_source.current_event()]
         )
 
-    def reload(self, new: ControllerConfig) -> None:
-        """Goes on by a new configuration: what has moved is met at its new address before the old is left."""
-        former, self.config = (
-            self.config,
-            replace(self.config, discovery=new.discovery, relay=new.relay),
-        )
-        if new.relay != former.relay:
-            self.relay.change_address(new.relay)
-            self.relay_watch.change_address(new.relay)
-        if new.discovery != former.discovery:
-            self.discovery.change_address(new.discovery)
+    def reload(self, new_config: ControllerConfig) -> None:
+        """Continue with a new configuration.
+
+        A server whose address changed is contacted at the new one before the connection to the old
+        one is closed.
+        """
+        old_config = self.config
+        self.config = replace(old_config, discovery=new_config.discovery, relay=new_config.relay)
+        if new_config.relay != old_config.relay:
+            self.relay.change_address(new_config.relay)
+            self.relay_watch.change_address(new_config.relay)
+        if new_config.discovery != old_config.discovery:
+            self.discovery.change_address(new_config.discovery)
             if "follow" in self._tasks.values():
-                self._run("follow", self.discovery.watch_list, beside=True)
+                self._start_task("follow", self.discovery.watch_list, keep_former=True)
         self.runtime.counters.add("reloads")
+        discovery_host, discovery_port = new_config.discovery
+        relay_host, relay_port = new_config.relay
         log.info(
             "reloaded",
             {
-                "discovery": "%s:%d" % new.discovery,
-                "relay": "%s:%d" % new.relay,
-                "moved": (new.relay != former.relay) + (new.discovery != former.discovery),
-                "needs_restart": ",".join(fields_needing_restart(former, new)) or "nothing",
+                "discovery": f"{discovery_host}:{discovery_port}",
+                "relay": f"{relay_host}:{relay_port}",
+                "moved": (new_config.relay != old_config.relay)
+                + (new_config.discovery != old_config.discovery),
+                "needs_restart": ",".join(fields_needing_restart(old_config, new_config))
+                or "nothing",
             },
         )
 
     @staticmethod
-    async def _bind(key: str, opened: Awaitable[None]) -> None:
+    async def _bind(key: str, opening: Awaitable[None]) -> None:
+        """Open a socket; raise StartupError that names the key if its address can't be bound."""
         try:
-            await opened
+            await opening
         except OSError as error:
             raise StartupError(key, error.strerror or str(error)) from None
 
     def stop(self) -> None:
-        """Takes nothing more, and ends every connection."""
+        """Cancel all tasks and close all connections."""
         self.inbound_server.close()
         for task in self._tasks:
             task.cancel()
@@ -205,20 +240,18 @@
             self.agreed_source.close()
 
     def publish(self, events: list[Event]) -> None:
-        """Takes in events; they are decided on together once this loop turn is over."""
+        """Queue events; those of one loop turn are decided on together after it."""
         self._events += events
-        if not self._turn_due:
-            self._turn_due = True
-            asyncio.get_running_loop().call_soon(self._turn)
+        if not self._is_turn_scheduled:
+            self._is_turn_scheduled = True
+            asyncio.get_running_loop().call_soon(self._run_turn)
 
-    def _tell_news(self, events: list[Event]) -> None:
-        """Notes what stands now, and drops the orders that died with a slice."""
+    def _on_relay_events(self, events: list[Event]) -> None:
+        """Record events from the relay in the registry, drop orders made void, and publish them."""
         for event in events:
             if isinstance(event, ProxyJoined):
-                self.registry.joined_proxies[event.proxy], event.proxy.is_bound = (
-                    event.first_time,
-                    False,
-                )
+                self.registry.joined_proxies[event.proxy] = event.first_time
+                event.proxy.is_bound = False
             elif isinstance(event, ProxyLeft):
                 self.registry.joined_proxies.pop(event.proxy, None)
             elif isinstance(event, SliceLeaseChanged):
@@ -230,50 +263,58 @@
                 self.relay.on_seal_confirmed(event.seal)
         self.publish(events)
 
-    def _given_up(self, orders: list[Order]) -> None:
-        """A whole call was given up: tables are told anew, withdrawals stand as they did before."""
+    def _on_call_abandoned(self, orders: list[Order]) -> None:
+        """Correct the decisions' state after a whole call of orders was given up.
+
+        A new subscription reports the tables again; withdrawals are as they were before the orders.
+        """
         self.relay_watch.resubscribe()
         self.publish(
             [
-                WithdrawalState(one.backend, not one.is_withdrawn)
-                for one in orders
-                if isinstance(one, SetWithdrawn)
+                WithdrawalState(order.backend, not order.is_withdrawn)
+                for order in orders
+                if isinstance(order, SetWithdrawn)
             ]
         )
 
-    def _refused(self, order: Order) -> None:
-        """The relay could not use an order, as it knows no such backend: the decisions hear what stands instead."""
+    def _on_order_refused(self, order: Order) -> None:
+        """Correct the decisions' state after the relay refused an order.
+
+        It refuses an order for a backend that it does not know. The backend is reported as gone,
+        and the slice as granted with the rest of its table.
+        """
         if isinstance(order, SetEntry) and order.slice in self.registry.leased_slices:
-            gone = Listing(
+            gone_listing = Listing(
                 order.backend, order.backend.zone, 0, Phase.GONE, 0.0, order.backend.size
             )
             self.registry.listings.pop(order.backend, None)
-            lines = [
+            entries = [
                 StoredEntry(order.slice, backend, weight)
                 for backend, weight in order.slice.table.items()
                 if backend is not order.backend
             ]
             self.publish(
                 [
-                    FleetNews(FleetNewsKind.DELTA, [gone]),
+                    FleetNews(FleetNewsKind.DELTA, [gone_listing]),
                     SliceLeaseChanged(order.slice, True),
-                    *lines,
+                    *entries,
                 ]
             )
 
-    def _turn(self) -> None:
-        events, self._events, self._turn_due = self._events, [], False
-        began, way = (
-            self.runtime.now,
-            ChannelState(
-                not self.pending_orders, self.relay.unknown_seal, self.relay.is_broken_off
-            ),
+    def _run_turn(self) -> None:
+        """Have queued events decided on, carry out the orders, and check whether it is ready."""
+        events = self._events
+        self._events = []
+        self._is_turn_scheduled = False
+        began_at_ms = self.runtime.now
+        channel_state = ChannelState(
+            not self.pending_orders, self.relay.unknown_seal, self.relay.is_broken_off
         )
         try:
-            orders = self.policy.decide(began, [way, *events])
-        except (
-            Exception
-        ) as error:  # what is decided next may be better; who asks hears that it is not well
+            orders = self.policy.decide(began_at_ms, [channel_state, *events])
+        except Exception as error:
+            # The next decision may succeed; until then heartbeats are left unanswered, which shows
+            # those who send them that this controller is not well.
             log.error("decision_failed", {"error": repr(error)}, exc_info=True)
             self.runtime.counters.add("decision_failed")
             self.is_ready = False
@@ -282,17 +323,23 @@
             )
             return
         self.runtime.counters.add("decisions")
-        self.runtime.counters.record_max("decision.longest_ms", round(self.runtime.now - began, 1))
-        given = [order for order in orders if self.translator.is_relay_order(order)]
-        if given:
-            for order in given:
+        self.runtime.counters.record_max(
+            "decision.longest_ms", round(self.runtime.now - began_at_ms, 1)
+        )
+        relay_orders = [order for order in orders if self.translator.is_relay_order(order)]
+        if relay_orders:
+            for order in relay_orders:
                 self.runtime.counters.add(f"orders.{outer_name(type(order))}")
-            self.relay.submit(given)
+            self.relay.submit(relay_orders)
         for order in orders:
             if not self.translator.is_relay_order(order):
-                self._carry[type(order)](order)
-        listed = self.discovery.has_answered or self._late or self.config.site.news_on_request
-        if not self.is_ready and self.relay_watch.has_initial_state and listed:
+                self._order_handlers[type(order)](order)
+        has_fleet_list = (
+            self.discovery.has_answered
+            or self._is_discovery_overdue
+            or self.config.site.news_on_request
+        )
+        if not self.is_ready and self.relay_watch.has_initial_state and has_fleet_list:
             self.is_ready = True
             log.info(
                 "ready",
@@ -304,36 +351,49 @@
             )
             self.inbound_server.answer_heartbeats()
 
-    def _wait_no_more(self) -> None:
-        self._late = True
+    def _on_discovery_overdue(self) -> None:
+        """Stop waiting for discovery, and check whether the controller is ready."""
+        self._is_discovery_overdue = True
         self.publish([])
 
-    def _follow(self, on: bool) -> None:
-        if on:
-            self._run("follow", self.discovery.watch_list)
+    def _set_list_watch(self, enabled: bool) -> None:
+        """Start or stop the watch of the fleet list."""
+        if enabled:
+            self._start_task("follow", self.discovery.watch_list)
         else:
-            self._end("follow")
+            self._cancel_tasks("follow")
 
-    def _end(self, name: str) -> None:
-        for task in [task for task, other in self._tasks.items() if other == name]:
+    def _cancel_tasks(self, name: str) -> None:
+        """Cancel all tasks of a name."""
+        for task in [task for task, task_name in self._tasks.items() if task_name == name]:
             task.cancel()
 
-    def _run(
-        self, name: str, work: Callable[[], Coroutine[Any, Any, None]], beside: bool = False
+    def _start_task(
+        self,
+        name: str,
+        coroutine_function: Callable[[], Coroutine[Any, Any, None]],
+        keep_former: bool = False,
     ) -> None:
-        """Runs one line of work; another under the same name gives way to it, if they don't go on beside."""
-        if not beside:
-            self._end(name)
-        task = asyncio.get_running_loop().create_task(self._guard(name, work))
+        """Start a background task that is restarted after an exception.
+
+        Former tasks of the same name are cancelled, unless they are to be kept.
+        """
+        if not keep_former:
+            self._cancel_tasks(name)
+        task = asyncio.get_running_loop().create_task(
+            self._run_with_restarts(name, coroutine_function)
+        )
         self._tasks[task] = name
         task.add_done_callback(self._tasks.pop)
 
-    async def _guard(self, name: str, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """No fault ends a line of work for good."""
+    async def _run_with_restarts(
+        self, name: str, coroutine_function: Callable[[], Coroutine[Any, Any, None]]
+    ) -> None:
+        """Run a task until it returns; log an exception, and start the task again after a pause."""
         while True:
             try:
-                return await work()
+                return await coroutine_function()
             except Exception as error:
                 log.error("work_failed", {"work": name, "error": repr(error)}, exc_info=True)
                 self.runtime.counters.add("work_failed")
-            await self.runtime.pause(WORK_REST)
+            await self.runtime.pause(TASK_RESTART_DELAY_MS)
