--- a/lifthinge/wire/__init__.py
+++ b/lifthinge/wire/__init__.py
@@ -1,1 +1,4 @@
-"""What is spoken: frames, HTTP/1.1 and datagrams; the names of the sockets end here."""
+"""Network protocols of a controller: frames, HTTP/1.1 and datagrams.
+
+Names on the wire are translated here; other packages don't see them.
+"""
--- a/lifthinge/wire/inbound.py
+++ b/lifthinge/wire/inbound.py
@@ -162,7 +162,7 @@
             self._deadline = self.runtime.deadlines.set(MAX_IDLE_MS, self._check_idle)
         self.state = InboundState.REGISTERED
         self.zone = zone
-        self.buffer.limit = MAX_FRAME_BYTES + 4
+        self.buffer.max_bytes = MAX_FRAME_BYTES + 4
         self.inbound_server.register_collector(self)
 
     def _on_registration_timeout(self) -> None:
