--- a/lifthinge/__init__.py
+++ b/lifthinge/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration controller of a proxy fleet."""
+"""Configuration controller for a fleet of proxies."""
--- a/lifthinge/__main__.py
+++ b/lifthinge/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m lifthinge`: one controller on real sockets; with arguments, the command line."""
+"""Entry point of `python -m lifthinge`.
+
+Without arguments it runs one controller; with arguments it runs the command line.
+"""
 
 import signal
 import sys
@@ -9,9 +12,11 @@
 
         main(prog_name="lifthinge")
 
-    hung_up: list[int] = []  # before anything else: a SIGHUP never ends the program
-    signal.signal(signal.SIGHUP, lambda number, _: hung_up.append(number))
+    # Set before the slow imports: from the start, a SIGHUP asks to read the configuration again and
+    # does not end the program.
+    early_hangups: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, _: early_hangups.append(number))
 
     from lifthinge.service.run import main
 
-    sys.exit(main(hung_up))
+    sys.exit(main(early_hangups))
--- a/lifthinge/closest_name.py
+++ b/lifthinge/closest_name.py
@@ -1,4 +1,4 @@
-"""The nearest known name to one that is not known.
+"""Suggestions for mistyped names.
 
 >>> closest_name("elction", ["election", "beat"]), closest_name("zzz", ["election"])
 ('election', None)
@@ -8,5 +8,6 @@
 from difflib import get_close_matches
 
 
-def closest_name(name: str, known: Iterable[str]) -> str | None:
-    return next(iter(get_close_matches(name, list(known), 1)), None)
+def closest_name(name: str, known_names: Iterable[str]) -> str | None:
+    """Return the known name that is most similar to a name, or None if none is similar."""
+    return next(iter(get_close_matches(name, list(known_names), 1)), None)
--- a/lifthinge/schema.py
+++ b/lifthinge/schema.py
@@ -1,4 +1,4 @@
-"""What a schema finds wrong with data, as one fault: the key, and why, with the nearest name for one not known."""
+"""The first problem that a pydantic schema finds with data, in words for operators."""
 
 from typing import Any, NamedTuple
 
@@ -8,36 +8,47 @@
 
 
 class SchemaProblem(NamedTuple):
-    """What is wrong, and where."""
+    """Which key of the data is wrong, and why."""
 
     key: str
     why: str
 
 
 def first_problem(error: ValidationError, model: type[BaseModel]) -> SchemaProblem:
-    """The first fault that the schema found, with the nearest name for one that it does not know."""
-    found = error.errors(include_url=False)
+    """Return the problem to report of those that a model found.
+
+    An unknown key goes before other problems, and comes with the most similar key that is known.
+    """
+    problems = error.errors(include_url=False)
     first = next(
-        (one for one in found if one["type"] == "extra_forbidden"), found[0]
-    )  # a name mistyped is missing, too
+        # A mistyped key is reported as missing, too, which would not show the cause.
+        (problem for problem in problems if problem["type"] == "extra_forbidden"),
+        problems[0],
+    )
     key = "".join(
-        f"[{part}]" if isinstance(part, int) else f".{part}" for part in first["loc"]
+        f"[{key_part}]" if isinstance(key_part, int) else f".{key_part}"
+        for key_part in first["loc"]
     ).lstrip(".")
     if first["type"] != "extra_forbidden":
         return SchemaProblem(key or "document", first["msg"])
-    known, fields = model, model.model_fields
-    for part in first["loc"][:-1]:
-        if isinstance(part, str) and part in fields:
-            known = _model_in(fields[part].annotation)
-            fields = known.model_fields if known else {}
-    like = closest_name(str(first["loc"][-1]), fields)
-    return SchemaProblem(key, f"unknown; did you mean {like}?" if like else "unknown")
+    model_at_key, fields = model, model.model_fields
+    for key_part in first["loc"][:-1]:
+        if isinstance(key_part, str) and key_part in fields:
+            model_at_key = _model_of(fields[key_part].annotation)
+            fields = model_at_key.model_fields if model_at_key else {}
+    suggestion = closest_name(str(first["loc"][-1]), fields)
+    return SchemaProblem(key, f"unknown; did you mean {suggestion}?" if suggestion else "unknown")
 
 
-def _model_in(annotation: Any) -> type[BaseModel] | None:
-    """The model that a field's type is, or is a tuple, list or map of."""
+def _model_of(annotation: Any) -> type[BaseModel] | None:
+    """Return the model that a type is or contains, as in a tuple, list or dict of it."""
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         return annotation
     return next(
-        (found for one in getattr(annotation, "__args__", ()) if (found := _model_in(one))), None
+        (
+            argument_model
+            for argument in getattr(annotation, "__args__", ())
+            if (argument_model := _model_of(argument))
+        ),
+        None,
     )
--- a/lifthinge/settings.py
+++ b/lifthinge/settings.py
@@ -1,4 +1,8 @@
-"""Settings JSON to what is read of it: the site's terms, and the names and ways of its surroundings."""
+"""Reads the platform's settings, decoded from JSON.
+
+`SiteSettings` are for the decision module; a `SiteLayout` is for the adapter, which checks and
+translates messages with it. The settings' times are in seconds, those of both results in ms.
+"""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,55 +10,65 @@
 from lifthinge.interface import Method, SiteSettings
 
 MS_PER_S = 1000.0
-MAX_MEAN_OVERSHOOT = 2.0  # times the true mean: reports are a little noisy
-MAX_REPORT_PERIODS = 100  # report periods that one sum covers
-MAX_RPCS_PER_SLOT = 10  # RPCs that one place at a backend serves within the shortest soft deadline
-MAX_BACKEND_SIZE_RATIO = 2  # times the connections of the smallest backend
+# Reported mean latency over the longest deadline; more than 1 because reports are a little noisy.
+MAX_REPORTED_MEAN_RATIO = 2.0
+# Report intervals that one report may cover, as reports wait while others are let in.
+MAX_REPORT_SPAN_INTERVALS = 100
+# RPCs that one stream of a connection serves within the shortest soft deadline: each RPC takes at
+# least a tenth of it.
+MAX_RPCS_PER_STREAM = 10
+# Connections of the largest backend over those of the smallest.
+MAX_BACKEND_SIZE_RATIO = 2
 
 
 class SettingsError(Exception):
-    """The settings can't be used; the text names the key."""
+    """The settings lack a key, or a value has the wrong type; the message says which."""
 
 
 @dataclass(frozen=True)
 class SiteLayout:
-    """The names that a site uses, and what it has."""
+    """The names and sizes of a site, and the bounds that a plausible report keeps to.
+
+    Reports beyond a bound are refused. Zones, methods and load fields are numbered in their order.
+    """
 
     zones: tuple[str, ...]
     methods: tuple[str, ...]
     load_fields: tuple[str, ...]
     slice_count: int
     proxy_count: int
-    max_mean_latency_ms: float  # ms that a report's tries may have taken on the mean
-    max_report_span_ms: float  # ms that it may cover
-    max_attempts_per_ms: float  # tries a millisecond that it may tell
-    controller_number: int  # this controller's, among those of its tier
-    sends_probes: bool
-    has_peers: bool
-    news_on_request: bool
+    max_mean_latency_ms: float  # largest plausible mean latency of a report
+    max_report_span_ms: float  # longest time that a report may cover
+    max_attempts_per_ms: float  # largest plausible rate of attempts in a report
+    controller_number: int  # of this controller among those of its tier
+    sends_probes: bool  # whether this controller may probe backends
+    has_peers: bool  # whether this controller may send messages to others
+    news_on_request: bool  # whether the fleet list comes only after an order asked for it
 
 
 def read_settings(conf: Any) -> SiteSettings:
-    """The site's terms out of the settings.
+    """Return the settings of the decision module; raise SettingsError if they are not usable.
 
     >>> read_settings({})
     Traceback (most recent call last):
         ...
     lifthinge.settings.SettingsError: settings lack the key 'Specifics'
-    >>> read_settings(None)
-    Traceback (most recent call last):
-        ...
-    lifthinge.settings.SettingsError: settings have a value of the wrong kind: 'NoneType' object is not subscriptable
+    >>> try:
+    ...     read_settings(None)
+    ... except SettingsError as error:
+    ...     print(error)
+    settings have a value of the wrong kind: 'NoneType' object is not subscriptable
     """
-    return _checked(_settings, conf)
+    return _read(_settings, conf)
 
 
 def read_layout(conf: Any) -> SiteLayout:
-    """The names and ways of the site out of the settings."""
-    return _checked(_layout, conf)
+    """Return the layout of the site; raise SettingsError if the settings are not usable."""
+    return _read(_layout, conf)
 
 
-def _checked(read: Any, conf: Any) -> Any:
+def _read(read: Any, conf: Any) -> Any:
+    """Return `read(conf)`; raise SettingsError for any error of a lookup or conversion."""
     try:
         return read(conf)
     except KeyError as error:
@@ -64,51 +78,56 @@
 
 
 def _settings(conf: dict[str, Any]) -> SiteSettings:
-    special, rules = conf["Specifics"], conf["Rules"]
+    specifics, rules = conf["Specifics"], conf["Rules"]
     return SiteSettings(
         methods=tuple(
-            Method(one["Target"] * MS_PER_S, one["Deadline"] * MS_PER_S, one["Worth"])
-            for one in conf["Services"]
+            Method(service["Target"] * MS_PER_S, service["Deadline"] * MS_PER_S, service["Worth"])
+            for service in conf["Services"]
         ),
-        sliced=special["Ranges"] > 0,
-        has_single_owner=bool(special.get("OneOwner", False)),
+        sliced=specifics["Ranges"] > 0,
+        has_single_owner=bool(specifics.get("OneOwner", False)),
         news_on_request=conf["MembershipMode"] == "ask",
         uses_listed_sizes=conf["Weights"] != "silent",
-        admission_mode=special["Admit"],
-        report_interval_ms=special["ReportEvery"] * MS_PER_S,
-        channel_entries_per_ms=special["ChannelRate"] / MS_PER_S,
-        message_overhead_entries=special["FixedCost"],
-        max_pending_entries=special["PendingMax"],
-        max_pushes_per_window=special["PushesAllowed"],
-        push_window_ms=special["UpdateWindow"] * MS_PER_S,
+        admission_mode=specifics["Admit"],
+        report_interval_ms=specifics["ReportEvery"] * MS_PER_S,
+        channel_entries_per_ms=specifics["ChannelRate"] / MS_PER_S,
+        message_overhead_entries=specifics["FixedCost"],
+        max_pending_entries=specifics["PendingMax"],
+        max_pushes_per_window=specifics["PushesAllowed"],
+        push_window_ms=specifics["UpdateWindow"] * MS_PER_S,
         warm_up_ms=rules["WarmUp"] * MS_PER_S,
-        max_transit_ms=special["TransitMax"] * MS_PER_S,
-        proxy_count=max(int(special["DataPlaneSize"]), 1),
+        max_transit_ms=specifics["TransitMax"] * MS_PER_S,
+        proxy_count=max(int(specifics["DataPlaneSize"]), 1),
     )
 
 
 def _layout(conf: dict[str, Any]) -> SiteLayout:
-    """A sane report stays within what the settings let happen.
+    """Read the layout, and derive the bounds of plausible reports from the settings.
 
-    No try outlives the longest deadline; sums wait while others get in, a hundred periods at most; and one
-    backend holds no more RPCs at a time than its connections bear, each for a tenth of an aim at least.
+    - Mean latency, in ms: no attempt outlives the longest deadline.
+    - Span, in ms: a report waits while others are let in, at most 100 report intervals.
+    - Attempts per ms: a backend holds at most as many RPCs at a time as its connections have
+      streams, each for at least a tenth of the shortest soft deadline. Without `ConnsLeast` there
+      is no bound.
     """
-    special, services = conf["Specifics"], conf["Services"]
-    multiplex = max(conf["Limits"].get("Multiplex", 1), 1)
-    at_once = special.get("ConnsLeast", float("inf")) * MAX_BACKEND_SIZE_RATIO * multiplex
+    specifics, services = conf["Specifics"], conf["Services"]
+    streams_per_connection = max(conf["Limits"].get("Multiplex", 1), 1)
+    max_rpcs_at_once = (
+        specifics.get("ConnsLeast", float("inf")) * MAX_BACKEND_SIZE_RATIO * streams_per_connection
+    )
     return SiteLayout(
         zones=tuple(conf["Zones"]),
-        methods=tuple(one["Name"] for one in conf["Services"]),
+        methods=tuple(service["Name"] for service in conf["Services"]),
         load_fields=tuple(conf.get("Report", {}).get("Fields", ())),
-        slice_count=int(special["Ranges"]),
-        proxy_count=int(special["DataPlaneSize"]),
-        max_mean_latency_ms=max(one["Deadline"] for one in services)
+        slice_count=int(specifics["Ranges"]),
+        proxy_count=int(specifics["DataPlaneSize"]),
+        max_mean_latency_ms=max(service["Deadline"] for service in services)
         * MS_PER_S
-        * MAX_MEAN_OVERSHOOT,
-        max_report_span_ms=special["ReportEvery"] * MS_PER_S * MAX_REPORT_PERIODS,
-        max_attempts_per_ms=at_once
-        * MAX_RPCS_PER_SLOT
-        / (min(one["Target"] for one in services) * MS_PER_S),
+        * MAX_REPORTED_MEAN_RATIO,
+        max_report_span_ms=specifics["ReportEvery"] * MS_PER_S * MAX_REPORT_SPAN_INTERVALS,
+        max_attempts_per_ms=max_rpcs_at_once
+        * MAX_RPCS_PER_STREAM
+        / (min(service["Target"] for service in services) * MS_PER_S),
         controller_number=int(conf["SlotNo"]),
         sends_probes=bool(conf["Limits"].get("Probes", False)),
         has_peers=bool(conf["Limits"].get("MayTell", False)),
