--- a/lifthinge/policy.py
+++ b/lifthinge/policy.py
@@ -1,9 +1,12 @@
-"""The decisions of lifthinge: which backend serves which slice, and what the proxies are told of it.
+"""Decisions of the controller: which backend serves which slice, and what the proxies are told.
 
-How it is invoked: an adapter makes one `Policy(settings, seed)` for each instance and calls
-`decide(now, events)` once for each batch that holds an event for it; the orders that come back take
-effect in their order. The types at this door are in `lifthinge/interface.py`; why things are as they
-are is in `docs/design.md`. Nothing here reads a clock, a file or the network.
+An adapter makes one `Policy(settings, seed)` for each instance and calls `decide(now_ms, events)`
+once for each batch that holds an event for it. The returned orders take effect in their order. The
+types of the events and orders are in `lifthinge/interface.py`; the reasons behind the design are in
+`docs/design.md`. Nothing here reads a clock, a file or the network.
+
+A table entry is *active* while its backend is not withdrawn. A *push* is one message of orders to
+the proxies; it costs its entries and a fixed overhead, which is counted in entries, too.
 """
 
 from collections.abc import Iterable
@@ -45,95 +48,183 @@
 )
 from lifthinge.table_shares import active_shares, has_no_active_entry, share_if_active
 
-# The mechanism, as the design page settles it.
-VIOLATOR_MARK, VIOLATOR_REPORTS = 1.5, 3  # times the median ratio, for so many reports in a row
-LOW_SPAN, ROUND_EVERY = 60_000.0, 1_000.0  # a backend's own lowest latency is of this long; rounds
-MOVE_BUDGET = 4  # moves a round; the page starts with 2
-FILL_BUDGET = 0.3  # of the backends that may be filled a round, if that is more
-REST, COOL_OFF = 30_000.0, 3_000.0  # of a moved slice; of the loop, after a plan that made it worse
-PUSH_AFTER, MOST = 2_000.0, 0.5  # without most confirmations; the share of the proxies that is most
-
-# What the design leaves open.
-STEPS = (
+# Placement mechanism, as the design page specifies it
+
+# A backend is a violator while its latency ratio exceeds this multiple of the median ratio.
+VIOLATOR_MEDIAN_MULTIPLE = 1.5
+# Slices move away from a backend after this number of violating reports in a row.
+MIN_VIOLATOR_REPORTS = 3
+# The lowest latency of a backend is taken over this window.
+LOWEST_LATENCY_WINDOW_MS = 60_000.0
+ROUND_INTERVAL_MS = 1_000.0
+# The move budget of a round. The design page starts with 2.
+MOVE_BUDGET_PER_ROUND = 4
+# Fraction of the usable backends that may be filled in a round, if that is more than the budget.
+FILL_BUDGET_FRACTION = 0.3
+# A slice that was moved stays where it is for this time.
+MOVE_BLOCK_MS = 30_000.0
+# Cool-off of the placement loop after moves that made the worst violator worse.
+COOL_OFF_MS = 3_000.0
+# A push waits this long for the confirmations of the one before, unless enough have come.
+MAX_CONFIRMATION_WAIT_MS = 2_000.0
+# Fraction of the proxies that may be unconfirmed when the next push goes out without that wait.
+MAX_UNCONFIRMED_FRACTION = 0.5
+
+# Warm-up and probation
+
+# Pairs of the elapsed fraction of the warm-up and the share of a warm backend's heat from there on.
+WARM_UP_STEPS = (
     (0.0, 0.25),
     (0.2, 0.4),
     (0.4, 0.6),
     (0.6, 0.8),
     (1.0, 1.0),
-)  # part of warm-up: share of heat
-TRIAL, TRIAL_LEAST = (
-    0.05,
-    2.0,
-)  # the part of one that was shut, until so many tries of late went well
-NEAR = 0.02  # of a step is as good as the step
-SPARE_WEIGHT = 0.001  # of the owner's: a standby line's, or less
-WEIGHT_MOST = 1e8  # over it a table is written anew
-SPARE_LIKED = 0.7  # a displaced slice takes its spare for so much less crowded: that costs no line
-BAD_SHARE, BAD_OVER_MEDIAN = (
-    0.3,
-    3.0,
-)  # of tries gone wrong, and times the median share: a backend is sick
-ALL_BAD = 0.95  # a slow or silent backend is sick if so many go wrong
-QUICK = 2.5  # ratio up to which a backend is not crowded
-BAD_LEAST = 4.0  # tries, before they are judged
-BROAD_SHARE, BROAD_MOST = (
-    0.1,
-    0.2,
-)  # so much goes wrong at so much of the fleet: nobody is singled out
-SHUT_FIRST = 8_000.0  # a sick backend's first time out; doubles
-FILL_PART, FILL_FROM = (
-    0.7,
-    1.5,
-)  # of its part of the mean heat: under it a new one is filled, from over it
-WORTH_MOVING, COLD_KEYS = (
-    0.05,
-    2.0,
-)  # of a violator's heat: cooler slices stay; times a moved one's heat
-UNSEEN_PART = (
-    0.5  # of the mean heat: room on a backend easing in, before any RPC is seen to go well
 )
-UNHEARD_AFTER, SETTLED_AFTER = 3.0, 3.0  # horizons of the reports: older moves show in them
-HORIZON_NEW = 0.25  # a period's part in the horizon
-URGENT_PART = 0.9  # of the channel's queue is in use; of it are kept back
-KEPT_PART, SPARED_PART, MOST_KEPT = 0.5, 0.25, 0.75  # from what can wait; from bare tables
-ANSWER_PART = 2.0  # of a message's longest way: there and back, until the first answers
-JOINS_GATHER = 0.25  # of the push timer: before late joiners are told what they missed
-LEVELS, LET_ALL = 4, 1e9  # steps, each costs a line a slice; a level, be it a fraction or a rate
-STRESS_HIGH, STRESS_LOW = (
-    0.6,
-    0.45,
-)  # mean latency in shortest soft deadlines: less let in, more let in
-LET_CUT = 0.7, 0.8  # less is let in: times the part that goes well, within these
-LET_STEP, LET_EVERY, LET_LEAST = 0.1, 2.0, 0.45  # back by so much in so many horizons; never less
-SLOWEST = 6.0  # the channel may send so many times slower; older lines are out for sure
-NEVER, WILD, USUAL_NEW = (
-    float("inf"),
-    2.0,
-    0.1,
-)  # times what is usual is wild; a report's part in that
-WELL, WRONG = 0.0, 1.0  # outcomes of a try
-DRY_LEAST = 8.0  # RPCs asked with none going well for the longest soft deadline: it hangs
-HEALED_PART = 0.3  # of the warm-up: a backend back from being shut eases in this fast
+# Fraction of a warm backend's heat that a backend on probation gets.
+PROBATION_FRACTION = 0.05
+# Probation ends after this number of recent successful attempts.
+MIN_PROBATION_OK_ATTEMPTS = 2.0
+# Fraction of the warm-up in which a readmitted backend warms up.
+READMISSION_WARM_UP_FRACTION = 0.3
+# Fraction of the mean heat that fits on a backend in warm-up, before any RPC is seen to succeed.
+UNOBSERVED_HEAT_FRACTION = 0.5
+
+# Tables
+
+# Shares that differ by less are taken as equal, and a share this close to a step reaches it.
+SHARE_TOLERANCE_FRACTION = 0.02
+# A standby entry has this fraction of the owner's weight, or less.
+STANDBY_WEIGHT_FRACTION = 0.001
+# A table whose main weight would exceed this is written anew.
+MAX_WEIGHT = 1e8
+# Factor on the heat of a backend that the table of a displaced slice already holds. Such a backend
+# is preferred because choosing it costs no table entry.
+PRESENT_ENTRY_HEAT_FACTOR = 0.7
+
+# Ejection of failing backends
+
+# A quick backend fails if at least this fraction of its attempts is aborted.
+MIN_FAILING_FRACTION = 0.3
+# A quick backend fails only at this multiple of the median fraction of aborted attempts, too.
+FAILING_MEDIAN_MULTIPLE = 3.0
+# A slow or silent backend fails only if at least this fraction of its attempts is aborted.
+MIN_SLOW_FAILING_FRACTION = 0.95
+# A backend up to this latency ratio is quick, which means that it is not crowded.
+MAX_QUICK_LATENCY_RATIO = 2.5
+# Number of recent attempts from which on a backend is judged by its failures.
+MIN_JUDGED_ATTEMPTS = 4.0
+# A backend with this fraction of aborted attempts is a suspect.
+MIN_SUSPECT_FRACTION = 0.1
+# If more than this fraction of the ready backends is ejected or suspect, the trouble is broad, and
+# no single backend is ejected.
+MAX_SUSPECT_BACKENDS_FRACTION = 0.2
+# Duration of a backend's first ejection. It doubles at each of the next two ejections.
+FIRST_EJECTION_MS = 8_000.0
+# A backend hangs if it should have got this number of RPCs, and none has succeeded for the longest
+# soft deadline.
+MIN_HANG_RPCS = 8.0
+# The bins of `Backend.outcomes` are addressed by these values.
+OK_OUTCOME = 0.0
+FAILED_OUTCOME = 1.0
+
+# Choice of the slices that move
+
+# A started backend is filled while it has less than this fraction of its part of the mean heat.
+MAX_FILL_TARGET_HEAT_FRACTION = 0.7
+# Started backends are filled from those above this multiple of their part of the mean heat.
+MIN_FILL_SOURCE_HEAT_MULTIPLE = 1.5
+# Slices with less than this fraction of a violator's heat stay on it.
+MIN_MOVED_HEAT_FRACTION = 0.05
+# A moved slice counts with this multiple of its heat at the target, where its keys are cold.
+COLD_KEYS_HEAT_MULTIPLE = 2.0
+
+# Evaluation of reports. Several times are multiples of the mean report span, which is the mean time
+# that a report covers.
+
+# After this number of mean report spans without a report, nothing is known of its subject.
+SILENCE_REPORT_SPANS = 3.0
+# Moves older than this number of mean report spans show in the reports.
+SETTLING_REPORT_SPANS = 3.0
+# Part of one report interval in the moving mean of the report spans.
+REPORT_SPAN_SMOOTHING_FRACTION = 0.25
+# A report of more than this multiple of the usual attempts or heat is an outlier and is limited.
+OUTLIER_MULTIPLE = 2.0
+# Part of one report in the moving mean of the attempts per report.
+REPORT_SIZE_SMOOTHING_FRACTION = 0.1
+
+# Channel to the proxies
+
+# Fraction of the channel's queue that is ever used.
+USABLE_CHANNEL_FRACTION = 0.9
+# Fraction of the queue that is kept free of entries that can wait.
+URGENT_RESERVE_FRACTION = 0.5
+# Fraction of the queue that is kept for withdrawals, and free of entries for tables that lack an
+# active entry.
+WITHDRAWAL_RESERVE_FRACTION = 0.25
+# A small channel keeps at most this fraction of its usable queue free of entries that can wait.
+MAX_URGENT_RESERVE_FRACTION = 0.75
+# Multiple of a message's longest transit until the first answers come: there and back.
+ANSWER_TRANSIT_MULTIPLE = 2.0
+# Fraction of `MAX_CONFIRMATION_WAIT_MS` for which joins are gathered, before the proxies that
+# joined late are told of the withdrawals that they missed.
+JOIN_GATHERING_FRACTION = 0.25
+# The channel may send this many times slower than its settings say. Older entries have left it.
+MAX_CHANNEL_SLOWDOWN_FACTOR = 6.0
+# Seal numbers start over at 1 after this one.
+MAX_SEAL = 65_000
+
+# Admission. Stress is the mean latency as a fraction of the shortest soft deadline.
+
+# Number of steps of an admission level. Each change of a level costs an entry for each slice.
+ADMISSION_LEVEL_STEPS = 4
+# This level admits all RPCs, whether the site's levels are fractions or rates.
+ADMIT_ALL_LEVEL = 1e9
+# Above this stress a zone admits less.
+HIGH_STRESS_FRACTION = 0.6
+# Below this stress a zone admits more.
+LOW_STRESS_FRACTION = 0.45
+# To admit less, a zone multiplies its admitted fraction by the fraction of attempts that succeed,
+# which is limited to these two bounds.
+MIN_ADMISSION_CUT_FACTOR = 0.7
+MAX_ADMISSION_CUT_FACTOR = 0.8
+# To admit more, a zone adds this to its admitted fraction.
+ADMISSION_RISE_FRACTION = 0.1
+# A zone waits this number of mean report spans after a change until it admits more.
+ADMISSION_RISE_REPORT_SPANS = 2.0
+# A zone never admits a smaller fraction.
+MIN_ADMISSION_FRACTION = 0.45
+
+# A time that never comes, or a number without a limit.
+INFINITY = float("inf")
 
 
 class Policy:
-    """One instance's decisions."""
-
-    def __init__(self, terms: SiteSettings, seed: int) -> None:
-        self.settings, self.random, self.shortest_soft_deadline_ms = (
-            terms,
-            Random(seed),
-            min(m.soft_deadline_ms for m in terms.methods),
-        )
+    """The decisions of one instance, and the state that they rest on.
+
+    `settings` are the site's. `seed` starts the random generator that spreads requests for the
+    fleet list in time. Events change the state in `decide`, which returns the resulting orders.
+    """
+
+    def __init__(self, settings: SiteSettings, seed: int) -> None:
+        """Start without backends, slices and proxies; an unsliced site has one slice at once."""
+        self.settings = settings
+        self.random = Random(seed)
+        self.shortest_soft_deadline_ms = min(m.soft_deadline_ms for m in settings.methods)
+        # Method numbers: those of the least criticality, and all others.
         self.methods_by_criticality = self._group_by_criticality({})
-        self.out_of_service, self.zone_shares = (
-            {},
-            {},
-        )  # backends out of service by hand; by zone, of usual work
-        self.backends: dict[Backend, None] = {}  # every one ever listed or named by the store
-        self.slices: dict[Slice, None] = {}  # in this instance's charge
-        self.proxies: dict[Proxy, None] = {}  # joined
-        self.event_handlers = {  # what waits for a proxy that left counts until it is out for sure
+        # Backends that operators have taken out of service, in a dictionary used as ordered set.
+        self.out_of_service = {}
+        # Zone -> share of its usual work, as operators have set it.
+        self.zone_shares = {}
+        # Every backend that was ever listed or named by the store. This and the next two are
+        # dictionaries used as ordered sets.
+        self.backends: dict[Backend, None] = {}
+        # Slices leased to this instance.
+        self.slices: dict[Slice, None] = {}
+        # Joined proxies. The entries that wait for a proxy that has left count until they have
+        # certainly left the channel.
+        self.proxies: dict[Proxy, None] = {}
+        self.event_handlers = {
             OperatorOverrides: self._on_operator_overrides,
             FleetNews: self._on_fleet_news,
             ProxyJoined: self._on_proxy_joined,
@@ -146,287 +237,377 @@
             ChannelState: lambda event: setattr(self, "channel_state", event),
             SealConfirmed: lambda event: self.channel.record_confirmation(event.seal, event.proxy),
         }
-        self.needs_planning = self.admission_reset_due = True
-        self.now_ms = self.next_evaluation_ms = self.next_round_ms = self.next_wake_ms = (
-            self.cool_off_until_ms
-        ) = self.worst_violation = 0.0
-        self.follow_list_at_ms = 0.0 if terms.news_on_request else NEVER
-        self.unannounced_withdrawals, self.announce_withdrawals_at_ms = (
-            {},
-            0.0,
-        )  # withdrawals that late joiners missed; when to tell
-        self.last_join_ms = 0.0  # when a proxy last joined
-        self.unknown_call_blocked_ms = 0.0  # when a call of unknown fate last had others before it
-        self.mean_report_span_ms = (
-            terms.report_interval_ms
-        )  # the mean span of a report of late, by its tries
-        self.report_span_sums = 0.0, 0.0  # of this period's reports, times their tries; the tries
-        self.mean_report_attempts = 0.0  # a report's tries
-        self.ok_fraction = 1.0  # part of all tries that goes well
-        self.warm_ok_rate_per_size = 0.0  # RPCs that go well for each warm unit of size
-        self.zone_stress: dict[int, float] = {}  # zone: mean latency in shortest soft deadlines
-        self.zone_admission: dict[
-            int, tuple[float, float]
-        ] = {}  # zone: part that is let in, and since when
-        self.running_moves: dict[Slice, Backend] = {}  # moves that still run: slice to former owner
-        self.last_seal, self.channel, self.channel_state = 0, Channel(), ChannelState(True)
-        self.other_orders, self.pending_slices = (
-            [],
-            [],
-        )  # orders beside tables; tables to be written, by worth
-        if not terms.sliced:
+        # Whether the state has changed since the desired tables were last computed.
+        self.needs_planning = True
+        # Whether all methods are to be admitted fully, before levels are set anew.
+        self.admission_reset_due = True
+        self.now_ms = 0.0
+        self.next_evaluation_ms = 0.0
+        self.next_round_ms = 0.0
+        self.next_wake_ms = 0.0
+        self.cool_off_until_ms = 0.0
+        # The worst violator's latency ratio over the median ratio in the last round.
+        self.worst_violation = 0.0
+        self.follow_list_at_ms = 0.0 if settings.news_on_request else INFINITY
+        # Withdrawn backends of which proxies that joined late may not know: an ordered set.
+        self.unannounced_withdrawals = {}
+        self.announce_withdrawals_at_ms = 0.0
+        self.last_join_ms = 0.0
+        # When messages before the call of unknown fate last lacked confirmations.
+        self.unknown_call_blocked_ms = 0.0
+        # Moving mean of the time that a report covers, weighted by attempts.
+        self.mean_report_span_ms = settings.report_interval_ms
+        # Sums over the reports of this interval: span in ms times attempts, and attempts.
+        self.report_span_sums = 0.0, 0.0
+        # Moving mean of the attempts per report.
+        self.mean_report_attempts = 0.0
+        # Moving mean of the fraction of all attempts that succeed.
+        self.ok_fraction = 1.0
+        # Successful attempts per ms for each unit of size of the warm backends.
+        self.warm_ok_rate_per_size = 0.0
+        # Zone -> mean latency as a fraction of the shortest soft deadline.
+        self.zone_stress: dict[int, float] = {}
+        # Zone -> fraction admitted, and the time in ms of its last change.
+        self.zone_admission: dict[int, tuple[float, float]] = {}
+        # Slice -> former owner, for the moves that are not completed.
+        self.running_moves: dict[Slice, Backend] = {}
+        self.last_seal = 0
+        self.channel = Channel()
+        self.channel_state = ChannelState(True)
+        # Orders of this batch besides those of `_emit_orders`.
+        self.other_orders = []
+        # Slices with pending orders, the most important first.
+        self.pending_slices = []
+        if not settings.sliced:
             self.slices[Slice(0, is_leased=True)] = None
 
-    def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
-        """What is ordered after one batch."""
-        self.now_ms, self.other_orders = now, []
+    def decide(self, now_ms: float, events: Iterable[Event]) -> list[Order]:
+        """Take in the events of one batch and return the orders that follow, in their order."""
+        self.now_ms = now_ms
+        self.other_orders = []
         for event in events:
             self.event_handlers.get(type(event), lambda _: None)(event)
-        if now >= self.next_evaluation_ms:
-            self.next_evaluation_ms = now + self.settings.report_interval_ms
+        if now_ms >= self.next_evaluation_ms:
+            self.next_evaluation_ms = now_ms + self.settings.report_interval_ms
             self._evaluate_reports()
-        if now >= self.next_round_ms:
-            self.next_round_ms = now + ROUND_EVERY
+        if now_ms >= self.next_round_ms:
+            self.next_round_ms = now_ms + ROUND_INTERVAL_MS
             self._run_round()
         return self._emit_orders() + self.other_orders
 
-    # What is known.
+    # Event handlers
 
     def _on_fleet_news(self, news: FleetNews) -> None:
+        """Take over the fleet list, or ask again after a random delay if it could not be fetched.
+
+        A whole list also tells which backends are gone: those that it lacks.
+        """
         if news.kind is FleetNewsKind.MISSED:
-            self.follow_list_at_ms = self.now_ms + ROUND_EVERY * (1 + self.random.random())
+            self.follow_list_at_ms = self.now_ms + ROUND_INTERVAL_MS * (1 + self.random.random())
             return
         listed = {}
         for entry in news.listings:
             backend = entry.backend
             listed[backend] = self.backends.setdefault(backend)
-            # A fresh start is a fresh backend, listed as gone in between or not: old tables may flood it.
+            # A restarted backend is treated as a new one, whether or not it was listed as gone in
+            # between: tables from before the restart may overload it.
             if (
                 entry.started_at_ms > backend.started_at_ms
                 and entry.started_at_ms + self.settings.warm_up_ms > self.now_ms
             ):
-                backend.ramp_start_ms, backend.ramp_duration_ms = (
-                    entry.started_at_ms,
-                    self.settings.warm_up_ms,
-                )
-                backend.ejected_until_ms, backend.is_on_probation = 0.0, False
+                backend.ramp_start_ms = entry.started_at_ms
+                backend.ramp_duration_ms = self.settings.warm_up_ms
+                backend.ejected_until_ms = 0.0
+                backend.is_on_probation = False
                 self._clear_statistics(backend)
-            backend.zone, backend.listed_phase, backend.started_at_ms = (
-                entry.zone,
-                entry.phase,
-                entry.started_at_ms,
-            )
+            backend.zone = entry.zone
+            backend.listed_phase = entry.phase
+            backend.started_at_ms = entry.started_at_ms
             backend.listed_size = (
                 entry.size if self.settings.uses_listed_sizes and entry.size > 0 else 1.0
             )
         for backend in (
-            b for b in self.backends if news.kind is not FleetNewsKind.DELTA and b not in listed
+            known_backend
+            for known_backend in self.backends
+            if news.kind is not FleetNewsKind.DELTA and known_backend not in listed
         ):
             backend.listed_phase = Phase.GONE
         self._update_phases()
 
-    def _group_by_criticality(self, worth: dict[int, float]) -> list[tuple[int, ...]]:
-        """Methods of the least criticality, and the others."""
-        worths = [worth.get(k, m.criticality) for k, m in enumerate(self.settings.methods)]
+    def _group_by_criticality(
+        self, criticality_by_method: dict[int, float]
+    ) -> list[tuple[int, ...]]:
+        """Return the numbers of the methods of the least criticality, and those of the others.
+
+        `criticality_by_method` overrides the criticality of the site's settings.
+        """
+        criticalities = [
+            criticality_by_method.get(method, method_settings.criticality)
+            for method, method_settings in enumerate(self.settings.methods)
+        ]
         return [
-            tuple(k for k, one in enumerate(worths) if (one > min(worths)) == high)
-            for high in (False, True)
+            tuple(
+                method
+                for method, criticality in enumerate(criticalities)
+                if (criticality > min(criticalities)) == is_higher
+            )
+            for is_higher in (False, True)
         ]
 
     def _on_operator_overrides(self, event: OperatorOverrides) -> None:
-        self.out_of_service, self.zone_shares = (
-            dict.fromkeys(event.out_of_service),
-            event.zone_shares,
-        )
-        if (
-            ranks := self._group_by_criticality(event.method_criticality)
-        ) != self.methods_by_criticality:
-            self.methods_by_criticality, self.admission_reset_due = (
-                ranks,
-                True,
-            )  # all are let in, then levels follow the new ranks
-            for one in self.slices:
-                one.admission_levels = (1.0, 1.0)
+        """Take over what the operators have agreed on, in place of their previous overrides.
+
+        If the methods are grouped in another way, first all methods are admitted fully; then the
+        levels follow the new groups.
+        """
+        self.out_of_service = dict.fromkeys(event.out_of_service)
+        self.zone_shares = event.zone_shares
+        grouped_methods = self._group_by_criticality(event.method_criticality)
+        if grouped_methods != self.methods_by_criticality:
+            self.methods_by_criticality = grouped_methods
+            self.admission_reset_due = True
+            for slice_ in self.slices:
+                slice_.admission_levels = (1.0, 1.0)
         self._update_phases()
 
     def _update_phases(self) -> None:
-        """Phases as listed, but who is out by hand is as good as draining, while a warm one is left.
+        """Set the phase and the size of each backend from the list and the operators' overrides.
 
-        Against an agreed document that takes out too much: the list has them ready, rules 1 and 4 hold.
+        A ready backend that is out of service counts as draining, as long as another warm one is
+        left. An agreed document that takes out too many is not followed: the list has these
+        backends ready, and rules 1 and 4 hold.
         """
-        acts = any(
-            b.listed_phase is Phase.READY
-            and b not in self.out_of_service
-            and self._warm_up_share(b) >= 1
-            and b.ejected_until_ms <= self.now_ms
-            for b in self.backends
+        overrides_apply = any(
+            candidate.listed_phase is Phase.READY
+            and candidate not in self.out_of_service
+            and self._warm_up_share(candidate) >= 1
+            and candidate.ejected_until_ms <= self.now_ms
+            for candidate in self.backends
         )
         for backend in self.backends:
-            held = acts and backend in self.out_of_service and backend.listed_phase is Phase.READY
-            backend.phase = Phase.DRAINING if held else backend.listed_phase
+            is_overridden = (
+                overrides_apply
+                and backend in self.out_of_service
+                and backend.listed_phase is Phase.READY
+            )
+            backend.phase = Phase.DRAINING if is_overridden else backend.listed_phase
             backend.size = backend.listed_size * self.zone_shares.get(backend.zone, 1.0)
-        if self.out_of_service and not acts:
+        if self.out_of_service and not overrides_apply:
             self.other_orders.append(
                 LogDecision("out of service by hand does not act: nobody warm would be left")
             )
         self.needs_planning = True
 
     def _clear_statistics(self, backend: Backend) -> None:
+        """Forget the latencies and outcomes of a restarted, ejected or readmitted backend."""
         backend.latency_minimum.clear()
         backend.outcomes.clear()
-        (
-            backend.latency_ratio,
-            backend.consecutive_violations,
-            backend.rpcs_since_ok,
-            backend.decayed_ok_totals,
-        ) = None, 0, 0.0, (0.0, 0.0)
+        backend.latency_ratio = None
+        backend.consecutive_violations = 0
+        backend.rpcs_since_ok = 0.0
+        backend.decayed_ok_totals = (0.0, 0.0)
 
     def _on_proxy_joined(self, event: ProxyJoined) -> None:
-        self.proxies[event.proxy], self.last_join_ms = None, self.now_ms
+        """Add a proxy, which does not know of the present withdrawals."""
+        self.proxies[event.proxy] = None
+        self.last_join_ms = self.now_ms
         self._schedule_announcement(b for b in self.backends if b.is_withdrawn)
 
     def _schedule_announcement(self, backends: Iterable[Backend]) -> None:
-        """Some proxy may have missed that these are withdrawn."""
+        """Plan to repeat the withdrawals of backends, which some proxy may have missed."""
         self.announce_withdrawals_at_ms = (
             self.announce_withdrawals_at_ms
             if self.unannounced_withdrawals
-            else self.now_ms + PUSH_AFTER * JOINS_GATHER
+            else self.now_ms + MAX_CONFIRMATION_WAIT_MS * JOIN_GATHERING_FRACTION
         )
         self.unannounced_withdrawals.update(dict.fromkeys(backends))
 
     def _on_attempt_report(self, report: AttemptReport) -> None:
-        # No report counts for much more than the others do of late: many sane ones outweigh a wild one.
-        backend, usual = report.backend, self.mean_report_attempts or report.attempts
-        part = min(max(2 * WILD * usual, BAD_LEAST) / max(report.attempts, 1), 1.0)
-        ok = part * max(report.attempts - report.aborted_attempts, 0)
-        total = ok + min(part * report.aborted_attempts, max(WILD * usual, BAD_LEAST))
-        self.mean_report_attempts = usual + (total - usual) * USUAL_NEW
-        self.report_span_sums = (
-            self.report_span_sums[0] + report.span_ms * total,
-            self.report_span_sums[1] + total,
+        """Add the attempts of a report to the sums of its backend for this report interval.
+
+        No report counts for much more than recent ones do on the mean, so that many plausible
+        reports outweigh an implausible one.
+        """
+        backend = report.backend
+        mean_attempts = self.mean_report_attempts or report.attempts
+        counted_fraction = min(
+            max(2 * OUTLIER_MULTIPLE * mean_attempts, MIN_JUDGED_ATTEMPTS)
+            / max(report.attempts, 1),
+            1.0,
+        )
+        ok_attempts = counted_fraction * max(report.attempts - report.aborted_attempts, 0)
+        counted_attempts = ok_attempts + min(
+            counted_fraction * report.aborted_attempts,
+            max(OUTLIER_MULTIPLE * mean_attempts, MIN_JUDGED_ATTEMPTS),
         )
-        backend.ok_attempts, backend.aborted_attempts = (
-            backend.ok_attempts + ok,
-            backend.aborted_attempts + total - ok,
+        self.mean_report_attempts = (
+            mean_attempts + (counted_attempts - mean_attempts) * REPORT_SIZE_SMOOTHING_FRACTION
         )
-        backend.ok_latency_sum_ms += ok * report.mean_latency_ms
+        self.report_span_sums = (
+            self.report_span_sums[0] + report.span_ms * counted_attempts,
+            self.report_span_sums[1] + counted_attempts,
+        )
+        backend.ok_attempts += ok_attempts
+        backend.aborted_attempts = backend.aborted_attempts + counted_attempts - ok_attempts
+        backend.ok_latency_sum_ms += ok_attempts * report.mean_latency_ms
 
     def _on_slice_heat(self, report: SliceHeatReport) -> None:
-        one = report.slice
-        one.admitted_rpcs += (
-            report.rpcs * one.admission_levels[report.method in self.methods_by_criticality[1]]
+        """Take in the RPCs of one method for one slice.
+
+        The reported rate is limited to the heat of all slices, or to a multiple of this slice's
+        heat, if that is more. The first rate of a slice is not limited.
+        """
+        slice_ = report.slice
+        slice_.admitted_rpcs += (
+            report.rpcs * slice_.admission_levels[report.method in self.methods_by_criticality[1]]
+        )
+        total_heat = sum(s.heat or 0.0 for s in self.slices)
+        max_rate = max(total_heat, OUTLIER_MULTIPLE * (slice_.heat or 0.0))
+        rate = min(
+            report.rpcs / max(report.span_ms, 1.0), max_rate if slice_.method_rates else INFINITY
         )
-        most = max(sum(s.heat or 0.0 for s in self.slices), WILD * (one.heat or 0.0))  # of all
-        rate = min(report.rpcs / max(report.span_ms, 1.0), most if one.method_rates else NEVER)
-        one.method_rates[report.method] = (
-            (one.method_rates.get(report.method, (rate, 0.0))[0] + rate) / 2,
+        slice_.method_rates[report.method] = (
+            (slice_.method_rates.get(report.method, (rate, 0.0))[0] + rate) / 2,
             self.now_ms,
         )
 
     def _on_lease_changed(self, event: SliceLeaseChanged) -> None:
-        one = event.slice
-        self.running_moves.pop(one, None), self.slices.pop(one, None)
-        one.is_leased, one.table, one.owner, one.desired_shares, one.heat = (
-            event.is_granted,
-            {},
-            None,
-            {},
-            None,
-        )
-        one.pending_orders, one.method_rates, one.admission_levels = [], {}, (1.0, 1.0)
+        """Add a granted slice, or drop one that was taken away; its state starts empty."""
+        slice_ = event.slice
+        self.running_moves.pop(slice_, None)
+        self.slices.pop(slice_, None)
+        slice_.is_leased = event.is_granted
+        slice_.table = {}
+        slice_.owner = None
+        slice_.desired_shares = {}
+        slice_.heat = None
+        slice_.pending_orders = []
+        slice_.method_rates = {}
+        slice_.admission_levels = (1.0, 1.0)
         if event.is_granted:
-            self.slices[one], self.admission_reset_due = None, True
+            self.slices[slice_] = None
+            self.admission_reset_due = True
         self.needs_planning = True
 
     def _on_stored_entry(self, event: StoredEntry) -> None:
-        one = event.slice
-        if one.is_leased and event.weight > 0:
-            self.backends[event.backend], one.table[event.backend] = None, event.weight
-            if (
-                event.backend.is_withdrawn
-            ):  # maybe while no table named it: who joined since was not told
+        """Take over a stored table entry; the heaviest entry, ready ones first, is the owner's."""
+        slice_ = event.slice
+        if slice_.is_leased and event.weight > 0:
+            self.backends[event.backend] = None
+            slice_.table[event.backend] = event.weight
+            # The backend may have been withdrawn while no table named it. Proxies that have joined
+            # since were not told.
+            if event.backend.is_withdrawn:
                 self._schedule_announcement([event.backend])
-            one.owner = max(one.table, key=lambda b: (b.phase is Phase.READY, one.table[b]))
+            slice_.owner = max(
+                slice_.table, key=lambda b: (b.phase is Phase.READY, slice_.table[b])
+            )
 
     def _on_withdrawal_state(self, event: WithdrawalState) -> None:
-        self.backends[event.backend], event.backend.is_withdrawn, self.needs_planning = (
-            None,
-            event.is_withdrawn,
-            True,
-        )
+        """Take over whether a backend is withdrawn, contrary to what was ordered."""
+        self.backends[event.backend] = None
+        event.backend.is_withdrawn = event.is_withdrawn
+        self.needs_planning = True
 
-    # What it means.
+    # Evaluation of the state
 
     def _warm_up_share(self, backend: Backend) -> float:
-        """The part of a warm backend's work that this one may be given: rises in steps after a start."""
+        """Return the share of a warm backend's work that a backend may get; 1 if it is warm.
+
+        The share rises in steps after a start. A backend on probation gets a very small one until
+        attempts succeed, so that one that still hangs costs little.
+        """
         if backend.ramp_start_ms is None:
             return 1.0
-        if (
-            backend.is_on_probation
-        ):  # a trace, until it proves well: one that still hangs costs little
-            return TRIAL
-        passed = (self.now_ms - backend.ramp_start_ms) / backend.ramp_duration_ms
-        return max(share for part, share in STEPS if part <= max(passed, 0.0))
+        if backend.is_on_probation:
+            return PROBATION_FRACTION
+        elapsed_fraction = (self.now_ms - backend.ramp_start_ms) / backend.ramp_duration_ms
+        return max(
+            share for step_start, share in WARM_UP_STEPS if step_start <= max(elapsed_fraction, 0.0)
+        )
 
     def _heat_limit(self, backend: Backend) -> float:
-        """The heat that a backend easing in may have: by what goes well at warm ones, not by what comes in.
+        """Return the heat, in RPCs per ms, that a backend in warm-up may have.
 
-        So no retry storm pushes it over; and it is this instance's part of a budget that all share unseen.
+        The limit follows the rate of successful attempts at warm backends, not that of incoming
+        RPCs, so that a retry storm does not overload the backend. It is this instance's part of a
+        budget that all instances share without seeing each other's use of it.
         """
-        well = (1.0 - backend.outcomes.share_from(WRONG)) ** 2  # less where it pushes back
+        # The limit is lower where the backend pushes back.
+        ok_factor = (1.0 - backend.outcomes.share_from(FAILED_OUTCOME)) ** 2
         return (
-            well
+            ok_factor
             * self._warm_up_share(backend)
             * backend.size
-            * (self.warm_ok_rate_per_size or UNSEEN_PART * self._mean_heat())
+            * (self.warm_ok_rate_per_size or UNOBSERVED_HEAT_FRACTION * self._mean_heat())
         )
 
     def _owner_share(self, backend: Backend) -> float:
-        """The part of its own slices' RPCs that goes to their owner, in the same few steps.
+        """Return the share of its own slices' RPCs that a backend gets, in the warm-up's steps.
 
-        What the other lines push back comes to the owner as well, and may leave room for nothing.
+        RPCs that the other entries push back come to the owner as well; they may leave no room for
+        a share, which is 0 then.
         """
         if self._warm_up_share(backend) >= 1 or backend.is_on_probation:
             return self._warm_up_share(backend)
-        part = min(self._heat_limit(backend) / max(backend.owned_heat, 1e-9), 1.0)
-        part = 1 - (1 - part) / max(self.ok_fraction, 1e-9)
-        return max((step for _, step in STEPS if step <= part + NEAR), default=0.0)
+        share = min(self._heat_limit(backend) / max(backend.owned_heat, 1e-9), 1.0)
+        share = 1 - (1 - share) / max(self.ok_fraction, 1e-9)
+        return max(
+            (step for _, step in WARM_UP_STEPS if step <= share + SHARE_TOLERANCE_FRACTION),
+            default=0.0,
+        )
 
     def _is_open(self, backend: Backend) -> bool:
+        """Return whether a backend is ready and not ejected."""
         return backend.phase is Phase.READY and backend.ejected_until_ms <= self.now_ms
 
     def _is_usable(self, backend: Backend) -> bool:
+        """Return whether a backend is open and not withdrawn from the proxies."""
         return self._is_open(backend) and not backend.is_withdrawn
 
     def _is_warm(self, backend: Backend) -> bool:
+        """Return whether a backend is open and its warm-up is over."""
         return self._is_open(backend) and self._warm_up_share(backend) >= 1
 
     def _evaluate_reports(self) -> None:
-        """Takes in a period's reports: heat of slices, ratios of backends, who is sick."""
-        (span, tries), self.report_span_sums = self.report_span_sums, (0.0, 0.0)
-        span = (
-            max(span / tries, self.settings.report_interval_ms)
-            if tries
+        """Evaluate the reports of one interval.
+
+        They give the heat of the slices, the latency ratios, the admission of each zone, the
+        failing backends and the violators.
+        """
+        weighted_span_sum_ms, attempts = self.report_span_sums
+        self.report_span_sums = (0.0, 0.0)
+        interval_span_ms = (
+            max(weighted_span_sum_ms / attempts, self.settings.report_interval_ms)
+            if attempts
             else self.mean_report_span_ms
         )
-        self.mean_report_span_ms += (span - self.mean_report_span_ms) * HORIZON_NEW
-        for one in self.slices:
-            for method, (
-                rate,
-                at,
-            ) in one.method_rates.items():  # silence means no RPC only where lines get in
-                if self.now_ms - at > UNHEARD_AFTER * self.mean_report_span_ms:
-                    one.method_rates[method] = rate / 2, self.now_ms - self.mean_report_span_ms
-            one.heat = (
-                sum(rate for rate, _ in one.method_rates.values()) if one.method_rates else one.heat
+        self.mean_report_span_ms += (
+            interval_span_ms - self.mean_report_span_ms
+        ) * REPORT_SPAN_SMOOTHING_FRACTION
+        for slice_ in self.slices:
+            # A rate that is no longer reported is halved instead of dropped: silence means that
+            # there are no RPCs only where entries reach the proxies.
+            for method, (rate, reported_at_ms) in slice_.method_rates.items():
+                if self.now_ms - reported_at_ms > SILENCE_REPORT_SPANS * self.mean_report_span_ms:
+                    slice_.method_rates[method] = (
+                        rate / 2,
+                        self.now_ms - self.mean_report_span_ms,
+                    )
+            slice_.heat = (
+                sum(rate for rate, _ in slice_.method_rates.values())
+                if slice_.method_rates
+                else slice_.heat
             )
+            # RPCs are expected by the table only if it has been in force for a while.
             if (
-                one.rpcs_shifted_at_ms is None
-                or self.now_ms - one.rpcs_shifted_at_ms > SETTLED_AFTER * self.mean_report_span_ms
+                slice_.rpcs_shifted_at_ms is None
+                or self.now_ms - slice_.rpcs_shifted_at_ms
+                > SETTLING_REPORT_SPANS * self.mean_report_span_ms
             ):
-                for backend, part in active_shares(one.table).items():
-                    backend.expected_rpcs += one.admitted_rpcs * part
-            one.admitted_rpcs = 0.0
+                for backend, share in active_shares(slice_.table).items():
+                    backend.expected_rpcs += slice_.admitted_rpcs * share
+            slice_.admitted_rpcs = 0.0
         for backend in self.backends:
             self._update_latency(backend)
         if self.out_of_service:
@@ -439,10 +620,14 @@
         self.needs_planning = True
 
     def _drop_gone_backends(self) -> None:
-        """Forgets who is gone and named nowhere: each start may bring new ids, for good."""
-        if gone := {b for b in self.backends if b.phase is Phase.GONE} - set(
+        """Forget withdrawn backends that are gone and that no table, owner or move names.
+
+        Without this the state would grow for good, as each start may bring new ids.
+        """
+        gone = {b for b in self.backends if b.phase is Phase.GONE} - set(
             self.running_moves.values()
-        ):
+        )
+        if gone:
             gone.difference_update(*([*s.table, *s.desired_shares, s.owner] for s in self.slices))
             self.other_orders += [
                 ForgetBackend(b) for b in self.backends if b in gone and b.is_withdrawn
@@ -450,8 +635,12 @@
             self.backends = {b: None for b in self.backends if b not in gone or not b.is_withdrawn}
 
     def _update_latency(self, backend: Backend) -> None:
-        """A report's latency over the backend's own lowest of the last minute, and its outcomes."""
-        backend.latency_minimum.drop_before(self.now_ms - LOW_SPAN)
+        """Update the latency ratio and the outcomes of a backend from the sums of an interval.
+
+        The latency ratio is the recent mean latency over the backend's own lowest of the last
+        minute. It is unknown after a while without successful attempts.
+        """
+        backend.latency_minimum.drop_before(self.now_ms - LOWEST_LATENCY_WINDOW_MS)
         if backend.ok_attempts:
             backend.decayed_ok_totals = (
                 backend.decayed_ok_totals[0] / 2 + backend.ok_attempts,
@@ -462,86 +651,104 @@
             backend.smoothed_latency_ms = (
                 backend.smoothed_latency_ms + backend.mean_latency_ms
             ) / 2
+            # The lowest latency is a divisor.
             backend.lowest_latency_ms = max(backend.latency_minimum.minimum(), 1e-3)
-            backend.latency_ratio, backend.last_ok_at_ms = (
-                backend.mean_latency_ms / backend.lowest_latency_ms,
-                self.now_ms,
-            )
+            backend.latency_ratio = backend.mean_latency_ms / backend.lowest_latency_ms
+            backend.last_ok_at_ms = self.now_ms
         elif (
-            self.now_ms - (backend.last_ok_at_ms or 0.0) > UNHEARD_AFTER * self.mean_report_span_ms
+            self.now_ms - (backend.last_ok_at_ms or 0.0)
+            > SILENCE_REPORT_SPANS * self.mean_report_span_ms
         ):
             backend.latency_ratio = None
-        backend.outcomes.add(WELL, backend.ok_attempts)
-        backend.outcomes.add(WRONG, backend.aborted_attempts)
+        backend.outcomes.add(OK_OUTCOME, backend.ok_attempts)
+        backend.outcomes.add(FAILED_OUTCOME, backend.aborted_attempts)
+        # Probation ends here, and the warm-up starts.
         if (
             backend.is_on_probation
             and self._is_usable(backend)
-            and backend.outcomes.bins[0] >= TRIAL_LEAST
+            and backend.outcomes.bins[0] >= MIN_PROBATION_OK_ATTEMPTS
         ):
-            backend.is_on_probation, backend.ramp_start_ms = False, self.now_ms
+            backend.is_on_probation = False
+            backend.ramp_start_ms = self.now_ms
         backend.rpcs_since_ok = (
             0.0 if backend.ok_attempts else backend.rpcs_since_ok + backend.expected_rpcs
         )
 
     def _is_crowded(self, backend: Backend) -> bool:
-        return backend.mean_latency_ms > STRESS_LOW * self.shortest_soft_deadline_ms
+        """Return whether a backend's mean latency is above the low stress mark."""
+        return backend.mean_latency_ms > LOW_STRESS_FRACTION * self.shortest_soft_deadline_ms
 
     def _update_zone_admission(self) -> None:
-        """Sets what part each zone lets in, from the zone's own latencies: down at once, back in steps.
+        """Set the fraction that each zone admits, from its latencies: down at once, up in steps.
 
-        Against the retry storms in which a crowded fleet stays crowded, whatever began them. It harms where
-        RPCs are slow by nature: there the low criticality is pushed back for nothing.
+        This ends retry storms, in which a crowded fleet stays crowded whatever started them. It is
+        harmful where RPCs are slow by nature: methods of low criticality are pushed back in vain.
         """
-        warm = [b for b in self.backends if self._is_warm(b)]
-        tries, bad = (
-            sum(b.ok_attempts + b.aborted_attempts for b in self.backends),
-            sum(b.aborted_attempts for b in self.backends),
-        )
-        self.ok_fraction = (self.ok_fraction + 1 - bad / max(tries, 1e-9)) / 2
+        warm_backends = [b for b in self.backends if self._is_warm(b)]
+        attempts = sum(b.ok_attempts + b.aborted_attempts for b in self.backends)
+        aborted_attempts = sum(b.aborted_attempts for b in self.backends)
+        self.ok_fraction = (self.ok_fraction + 1 - aborted_attempts / max(attempts, 1e-9)) / 2
         self.warm_ok_rate_per_size = (
             self.warm_ok_rate_per_size
-            + sum(b.ok_attempts for b in warm)
+            + sum(b.ok_attempts for b in warm_backends)
             / self.settings.report_interval_ms
-            / max(sum(b.size for b in warm), 1e-9)
+            / max(sum(b.size for b in warm_backends), 1e-9)
         ) / 2
         for zone in dict.fromkeys(b.zone for b in self.backends if b.ok_attempts):
-            here = [b for b in self.backends if b.zone == zone and b.ok_attempts]
-            stress = (
-                sum(b.ok_latency_sum_ms for b in here)
-                / sum(b.ok_attempts for b in here)
+            zone_backends = [b for b in self.backends if b.zone == zone and b.ok_attempts]
+            interval_stress = (
+                sum(b.ok_latency_sum_ms for b in zone_backends)
+                / sum(b.ok_attempts for b in zone_backends)
                 / self.shortest_soft_deadline_ms
             )
-            stress = self.zone_stress[zone] = (self.zone_stress.get(zone, 0.0) + stress) / 2
-            let, since = self.zone_admission.get(zone, (1.0, 0.0))
-            well = sum(b.ok_attempts for b in here) / sum(
-                b.ok_attempts + b.aborted_attempts for b in here
+            stress = (self.zone_stress.get(zone, 0.0) + interval_stress) / 2
+            self.zone_stress[zone] = stress
+            admitted_fraction, changed_at_ms = self.zone_admission.get(zone, (1.0, 0.0))
+            zone_ok_fraction = sum(b.ok_attempts for b in zone_backends) / sum(
+                b.ok_attempts + b.aborted_attempts for b in zone_backends
             )
-            if stress > STRESS_HIGH:
+            if stress > HIGH_STRESS_FRACTION:
+                cut_factor = min(
+                    max(zone_ok_fraction, MIN_ADMISSION_CUT_FACTOR), MAX_ADMISSION_CUT_FACTOR
+                )
                 self.zone_admission[zone] = (
-                    max(let * min(max(well, LET_CUT[0]), LET_CUT[1]), LET_LEAST),
+                    max(admitted_fraction * cut_factor, MIN_ADMISSION_FRACTION),
+                    self.now_ms,
+                )
+            elif (
+                stress < LOW_STRESS_FRACTION
+                and self.now_ms - changed_at_ms
+                > ADMISSION_RISE_REPORT_SPANS * self.mean_report_span_ms
+            ):
+                self.zone_admission[zone] = (
+                    min(admitted_fraction + ADMISSION_RISE_FRACTION, 1.0),
                     self.now_ms,
                 )
-            elif stress < STRESS_LOW and self.now_ms - since > LET_EVERY * self.mean_report_span_ms:
-                self.zone_admission[zone] = min(let + LET_STEP, 1.0), self.now_ms
 
     def _count_violations(self) -> None:
-        mark = VIOLATOR_MARK * self._median_latency_ratio()
+        """Count for each backend the reports in a row above the violator mark; clear the sums.
+
+        A report counts only if this interval's own mean latency is above the mark, too.
+        """
+        violator_ratio = VIOLATOR_MEDIAN_MULTIPLE * self._median_latency_ratio()
         for backend in self.backends:
             if backend.ok_attempts or backend.latency_ratio is None:
-                own = (
+                exceeds_in_interval = (
                     backend.ok_latency_sum_ms / max(backend.ok_attempts, 1e-9)
-                    > mark * backend.lowest_latency_ms
+                    > violator_ratio * backend.lowest_latency_ms
                 )
                 backend.consecutive_violations = (
-                    backend.consecutive_violations + own
-                    if (backend.latency_ratio or 0.0) > mark
+                    backend.consecutive_violations + exceeds_in_interval
+                    if (backend.latency_ratio or 0.0) > violator_ratio
                     else 0
                 )
-            backend.ok_attempts = backend.aborted_attempts = backend.expected_rpcs = (
-                backend.ok_latency_sum_ms
-            ) = 0.0
+            backend.ok_attempts = 0.0
+            backend.aborted_attempts = 0.0
+            backend.expected_rpcs = 0.0
+            backend.ok_latency_sum_ms = 0.0
 
     def _median_latency_ratio(self) -> float:
+        """Return the median of the known latency ratios of open backends; 1 if there is none."""
         return median(
             [
                 b.latency_ratio
@@ -552,578 +759,821 @@
         )
 
     def _eject_failing_backends(self) -> None:
-        """Shuts out backends that fail far more than the fleet yet are quick, or where nothing ends well.
+        """Eject backends that fail far more than the fleet although they are quick, or that hang.
 
-        It covers fast errors, crashes and cuts before the list tells, and hangs. A crowded one is moved from:
-        shutting it would crowd the next. A broad trouble (squeezed connections, one method unanswered, a slow
-        path, a bad view) hands no work to the rest, who could not do it. Harm: a fifth truly hung stay in.
+        This covers fast errors, crashes and disconnections before the list tells of them, and
+        hangs. A crowded backend is not ejected, since that would crowd the next one; its slices
+        are moved away. In a broad trouble (exhausted connections, one method without answers, a
+        slow path, a wrong view of the fleet) nothing is ejected, since the other backends could not
+        do the work. The harm: where a fifth of the fleet truly hangs, it stays in use.
         """
-        opened = [b for b in self.backends if self._is_open(b)]
-        judged = {
-            b: b.outcomes.share_from(WRONG) for b in opened if b.outcomes.total() >= BAD_LEAST
+        open_backends = [candidate for candidate in self.backends if self._is_open(candidate)]
+        failure_fractions = {
+            candidate: candidate.outcomes.share_from(FAILED_OUTCOME)
+            for candidate in open_backends
+            if candidate.outcomes.total() >= MIN_JUDGED_ATTEMPTS
         }
-        mark = max(BAD_SHARE, BAD_OVER_MEDIAN * median(judged.values() or [0.0]))
-        sick = [
-            b
-            for b in opened
-            if not (
-                self._is_crowded(b)
-                or b.smoothed_latency_ms > STRESS_LOW * self.shortest_soft_deadline_ms
+        failing_fraction = max(
+            MIN_FAILING_FRACTION,
+            FAILING_MEDIAN_MULTIPLE * median(failure_fractions.values() or [0.0]),
+        )
+        failing_backends = [
+            candidate
+            for candidate in open_backends
+            # The backend fails without being crowded, ...
+            if (
+                not (
+                    self._is_crowded(candidate)
+                    or candidate.smoothed_latency_ms
+                    > LOW_STRESS_FRACTION * self.shortest_soft_deadline_ms
+                )
+                and failure_fractions.get(candidate, 0.0)
+                >= (
+                    failing_fraction
+                    if candidate.ok_attempts and candidate.latency_ratio <= MAX_QUICK_LATENCY_RATIO
+                    else MIN_SLOW_FAILING_FRACTION
+                )
             )
-            and judged.get(b, 0.0)
-            >= (mark if b.ok_attempts and b.latency_ratio <= QUICK else ALL_BAD)
-            or b.rpcs_since_ok >= DRY_LEAST
-            and self.now_ms - (b.last_ok_at_ms or 0.0)
-            > max(
-                2 * self.mean_report_span_ms,
-                max(
-                    m.deadline_ms if self._is_crowded(b) else m.soft_deadline_ms
-                    for m in self.settings.methods
-                ),
+            # ... or it hangs.
+            or (
+                candidate.rpcs_since_ok >= MIN_HANG_RPCS
+                and self.now_ms - (candidate.last_ok_at_ms or 0.0)
+                > max(
+                    2 * self.mean_report_span_ms,
+                    max(
+                        method.deadline_ms
+                        if self._is_crowded(candidate)
+                        else method.soft_deadline_ms
+                        for method in self.settings.methods
+                    ),
+                )
             )
         ]
-        ready = [b for b in self.backends if b.phase is Phase.READY]
-        out = [b for b in ready if not self._is_open(b)]
-        suspects = sum(b in sick or judged.get(b, 0.0) >= BROAD_SHARE for b in opened)
-        if len(out) + suspects > max(BROAD_MOST * len(ready), 1):
-            for backend in out:
+        ready_backends = [
+            candidate for candidate in self.backends if candidate.phase is Phase.READY
+        ]
+        ejected_backends = [
+            candidate for candidate in ready_backends if not self._is_open(candidate)
+        ]
+        suspect_count = sum(
+            candidate in failing_backends
+            or failure_fractions.get(candidate, 0.0) >= MIN_SUSPECT_FRACTION
+            for candidate in open_backends
+        )
+        if len(ejected_backends) + suspect_count > max(
+            MAX_SUSPECT_BACKENDS_FRACTION * len(ready_backends), 1
+        ):
+            for backend in ejected_backends:
                 backend.ejected_until_ms = self.now_ms
             return
-        for backend in sick:
+        for backend in failing_backends:
             self.other_orders.append(
                 LogDecision(
-                    f"shut out {backend.name}: {judged.get(backend, 0):.0%} of its tries"
+                    f"shut out {backend.name}: {failure_fractions.get(backend, 0):.0%} of its tries"
                     f" went wrong, {backend.rpcs_since_ok:.0f} asked since one went well"
                 )
             )
-            backend.ejected_until_ms = self.now_ms + SHUT_FIRST * 2 ** min(
+            backend.ejected_until_ms = self.now_ms + FIRST_EJECTION_MS * 2 ** min(
                 backend.ejection_count, 2
             )
-            backend.ramp_start_ms, backend.ramp_duration_ms = (
-                backend.ejected_until_ms,
-                HEALED_PART * self.settings.warm_up_ms,
-            )
-            backend.ejection_count, backend.is_on_probation = backend.ejection_count + 1, True
+            backend.ramp_start_ms = backend.ejected_until_ms
+            backend.ramp_duration_ms = READMISSION_WARM_UP_FRACTION * self.settings.warm_up_ms
+            backend.ejection_count += 1
+            backend.is_on_probation = True
             self._clear_statistics(backend)
 
-    # The mechanism.
+    # Placement mechanism
 
     def _run_round(self) -> None:
-        """One round of the placement loop: worst violator first, hottest slices first."""
+        """Run one round of the placement loop: worst violator first, its hottest slices first.
+
+        No slice moves while earlier moves run or the loop cools off. If the worst violator has
+        become worse while moves run, those not sent yet are cancelled.
+        """
         for backend in self.backends:
             backend.outcomes.halve()
-        middle, used = self._median_latency_ratio(), {}
+        median_ratio = self._median_latency_ratio()
+        used_targets = {}  # an ordered set: each backend takes at most one slice in a round
         violators = sorted(
             (
-                b
-                for b in self.backends
-                if self._is_open(b)
-                and b.latency_ratio is not None
-                and b.consecutive_violations >= VIOLATOR_REPORTS
+                candidate
+                for candidate in self.backends
+                if self._is_open(candidate)
+                and candidate.latency_ratio is not None
+                and candidate.consecutive_violations >= MIN_VIOLATOR_REPORTS
             ),
-            key=lambda b: -b.latency_ratio,
-        )
-        former, self.worst_violation = (
-            self.worst_violation,
-            violators[0].latency_ratio / middle if violators else 0.0,
+            key=lambda candidate: -candidate.latency_ratio,
         )
-        if self.running_moves and self.worst_violation > former:
+        previous_worst = self.worst_violation
+        self.worst_violation = violators[0].latency_ratio / median_ratio if violators else 0.0
+        if self.running_moves and self.worst_violation > previous_worst:
             self._cancel_moves()
         if not self.settings.sliced or self.settings.has_single_owner:
             return
-        budget = 0 if self.running_moves or self.now_ms < self.cool_off_until_ms else MOVE_BUDGET
+        budget = (
+            0
+            if self.running_moves or self.now_ms < self.cool_off_until_ms
+            else MOVE_BUDGET_PER_ROUND
+        )
         for violator in violators:
-            for one in sorted(
+            for slice_ in sorted(
                 (
-                    s
-                    for s in self.slices
-                    if s.owner is violator
-                    and s.move_blocked_until_ms <= self.now_ms
-                    and s.heat >= WORTH_MOVING * violator.heat
+                    owned_slice
+                    for owned_slice in self.slices
+                    if owned_slice.owner is violator
+                    and owned_slice.move_blocked_until_ms <= self.now_ms
+                    and owned_slice.heat >= MIN_MOVED_HEAT_FRACTION * violator.heat
                 ),
-                key=lambda s: -s.heat,
+                key=lambda owned_slice: -owned_slice.heat,
             ):
                 target = (
-                    self._choose_target(one, violator, middle, used) if len(used) < budget else None
+                    self._choose_target(slice_, violator, median_ratio, used_targets)
+                    if len(used_targets) < budget
+                    else None
                 )
                 if target:
-                    used[target], self.running_moves[one] = None, one.owner
-                    self._move_slice(one, target)
-        self._fill_started_backends(used)
-
-    def _fill_started_backends(self, used: dict) -> None:
-        """Gives backends that started while we watched, and stand empty, a slice each from the most crowded.
-
-        The loop empties violators alone and ranks the unheard as average: an enlarged fleet would stay idle.
-        It only relieves, so plans and cool-offs do not hold it. Harm: keys go cold for a needless return.
+                    used_targets[target] = None
+                    self.running_moves[slice_] = slice_.owner
+                    self._move_slice(slice_, target)
+        self._fill_started_backends(used_targets)
+
+    def _fill_started_backends(self, used_targets: dict) -> None:
+        """Move a slice from the most crowded backend to each nearly empty backend seen to start.
+
+        The placement loop relieves violators only, and takes a backend without reports for an
+        average one, so an enlarged fleet would stay idle. Filling only relieves backends, so
+        running moves and cool-offs do not hold it up. The harm: if the move turns out needless,
+        the slice's keys have gone cold for nothing.
         """
-        mean = self._mean_heat()
-        budget = max(MOVE_BUDGET, FILL_BUDGET * sum(self._is_usable(b) for b in self.backends))
+        mean_heat = self._mean_heat()
+        budget = max(
+            MOVE_BUDGET_PER_ROUND,
+            FILL_BUDGET_FRACTION * sum(self._is_usable(b) for b in self.backends),
+        )
         for target in self.backends:
             if (
                 budget < 1
-                or target in used
+                or target in used_targets
                 or target.ramp_start_ms is None
                 or not self._is_usable(target)
-                or target.owned_heat > FILL_PART * mean * target.size * self._warm_up_share(target)
+                or target.owned_heat
+                > MAX_FILL_TARGET_HEAT_FRACTION
+                * mean_heat
+                * target.size
+                * self._warm_up_share(target)
             ):
                 continue
-            fits = [
-                s
-                for s in self.slices
-                if s.move_blocked_until_ms <= self.now_ms
-                and s.owner
+            candidates = [
+                candidate
+                for candidate in self.slices
+                if candidate.move_blocked_until_ms <= self.now_ms
+                and candidate.owner
                 and (
-                    s.owner.consecutive_violations
-                    or (s.owner.heat > FILL_FROM * mean * s.owner.size)
+                    candidate.owner.consecutive_violations
+                    or (
+                        candidate.owner.heat
+                        > MIN_FILL_SOURCE_HEAT_MULTIPLE * mean_heat * candidate.owner.size
+                    )
                 )
-                and self._fits_on(s, s.owner, target)
+                and self._fits_on(candidate, candidate.owner, target)
             ]
-            if fits:
+            if candidates:
                 budget -= 1
-                self._move_slice(
-                    max(fits, key=lambda s: (s.owner.latency_ratio or 0.0, s.heat)), target
+                most_crowded = max(
+                    candidates,
+                    key=lambda candidate: (
+                        candidate.owner.latency_ratio or 0.0,
+                        candidate.heat,
+                    ),
                 )
+                self._move_slice(most_crowded, target)
+
+    def _fits_on(self, slice_: Slice, source: Backend, target: Backend) -> bool:
+        """Return whether a slice may move: the target must stay cooler than the source is now.
 
-    def _fits_on(self, one: Slice, source: Backend, target: Backend) -> bool:
-        """A slice's heat counts twice, as its keys are cold there: no move may make a new worst."""
-        due = target.heat + COLD_KEYS * one.heat
-        return due < source.heat * target.size / source.size and self._has_room(target, one)
+        No move may make a new worst backend. The slice's heat counts twice at the target, as its
+        keys are cold there.
+        """
+        expected_heat = target.heat + COLD_KEYS_HEAT_MULTIPLE * slice_.heat
+        return expected_heat < source.heat * target.size / source.size and self._has_room(
+            target, slice_
+        )
 
     def _choose_target(
-        self, one: Slice, source: Backend, middle: float, used: dict
+        self, slice_: Slice, source: Backend, median_ratio: float, used_targets: dict
     ) -> Backend | None:
-        """The lowest-ratio server at or below the median that the slice fits on; unheard is average."""
+        """Return the backend of the lowest latency ratio that a slice may move to, or None.
+
+        Its ratio must be at or below the median; a backend without reports counts as median.
+        """
         ratios = {
-            b: middle if b.latency_ratio is None else b.latency_ratio
-            for b in self.backends
-            if self._is_usable(b)
+            candidate: median_ratio if candidate.latency_ratio is None else candidate.latency_ratio
+            for candidate in self.backends
+            if self._is_usable(candidate)
         }
-        fits = [
-            b
-            for b, ratio in ratios.items()
-            if ratio <= middle
-            and not b.consecutive_violations
-            and b is not source
-            and b not in used
-            and self._fits_on(one, source, b)
+        candidates = [
+            candidate
+            for candidate, ratio in ratios.items()
+            if ratio <= median_ratio
+            and not candidate.consecutive_violations
+            and candidate is not source
+            and candidate not in used_targets
+            and self._fits_on(slice_, source, candidate)
         ]
-        return min(fits, key=lambda b: (ratios[b], b.heat / b.size), default=None)
+        return min(
+            candidates,
+            key=lambda candidate: (ratios[candidate], candidate.heat / candidate.size),
+            default=None,
+        )
 
-    def _move_slice(self, one: Slice, target: Backend) -> None:
-        source, rate = one.owner, one.heat * 1000
+    def _move_slice(self, slice_: Slice, target: Backend) -> None:
+        """Make a backend the owner of a slice and log the move; the tables follow."""
+        source = slice_.owner
+        rpcs_per_s = slice_.heat * 1000
         self.other_orders.append(
             LogDecision(
-                f"move slice {one.number} of heat {rate:.1f}/s from {source.name}"
-                f" ({source.latency_ratio or 0:.1f}) to {target.name} ({target.latency_ratio or 0:.1f})"
+                f"move slice {slice_.number} of heat {rpcs_per_s:.1f}/s from {source.name}"
+                f" ({source.latency_ratio or 0:.1f}) to {target.name}"
+                f" ({target.latency_ratio or 0:.1f})"
             )
         )
-        source.heat, target.heat = source.heat - one.heat, target.heat + one.heat
-        target.owned_heat += one.heat
-        one.owner, one.move_blocked_until_ms, self.needs_planning = target, self.now_ms + REST, True
+        source.heat -= slice_.heat
+        target.heat += slice_.heat
+        target.owned_heat += slice_.heat
+        slice_.owner = target
+        slice_.move_blocked_until_ms = self.now_ms + MOVE_BLOCK_MS
+        self.needs_planning = True
 
     def _cancel_moves(self) -> None:
-        """Drops the moves that have not been sent and lets the system cool off."""
-        for one, former in self.running_moves.items():
-            if one.pending_orders and one.shifts_rpcs and self._is_usable(former):
-                one.owner, one.move_blocked_until_ms = former, 0.0
+        """Cancel the moves that have not been sent, and start a cool-off."""
+        for slice_, former_owner in self.running_moves.items():
+            if slice_.pending_orders and slice_.shifts_rpcs and self._is_usable(former_owner):
+                slice_.owner = former_owner
+                slice_.move_blocked_until_ms = 0.0
         self.running_moves.clear()
-        self.cool_off_until_ms, self.needs_planning = self.now_ms + COOL_OFF, True
+        self.cool_off_until_ms = self.now_ms + COOL_OFF_MS
+        self.needs_planning = True
 
-    # What is wanted.
+    # Desired state
 
     def _update_heat(self) -> None:
-        """Adds up the heat of each backend by the lines ordered; a slice not heard of counts as average.
+        """Add up the heat of each backend by the present tables, in RPCs per ms.
 
-        Else a controller just given slices would take them for cold, and put them on one backend.
+        A slice without reports counts as an average one. Otherwise a controller that was just
+        granted slices would take them for cold, and give them all to one backend.
         """
-        known = [one.heat for one in self.slices if one.heat] or [1e-3]
+        # Without any known heat a slice counts as 0.001 RPCs per ms.
+        known_heats = [slice_.heat for slice_ in self.slices if slice_.heat] or [1e-3]
         for backend in self.backends:
-            backend.heat = backend.owned_heat = backend.standby_heat = 0.0
-        for one in self.slices:
-            one.heat = sum(known) / len(known) if one.heat is None else one.heat
-            if one.owner:
-                one.owner.owned_heat += one.heat
-            for backend, part in active_shares(one.table).items():
-                backend.heat += one.heat * part
-
-    def _has_room(self, backend: Backend, one: Slice) -> bool:
-        """Whether a backend may take a slice: always, once it is warm."""
+            backend.heat = 0.0
+            backend.owned_heat = 0.0
+            backend.standby_heat = 0.0
+        for slice_ in self.slices:
+            slice_.heat = (
+                sum(known_heats) / len(known_heats) if slice_.heat is None else slice_.heat
+            )
+            if slice_.owner:
+                slice_.owner.owned_heat += slice_.heat
+            for backend, share in active_shares(slice_.table).items():
+                backend.heat += slice_.heat * share
+
+    def _has_room(self, backend: Backend, slice_: Slice) -> bool:
+        """Return whether a backend may take a slice; a warm one always may."""
         return self._warm_up_share(
             backend
-        ) >= 1 or backend.owned_heat + one.heat <= self._heat_limit(backend)
+        ) >= 1 or backend.owned_heat + slice_.heat <= self._heat_limit(backend)
 
     def _mean_heat(self) -> float:
-        opened = [b for b in self.backends if self._is_open(b)]
-        return sum(b.heat for b in opened) / max(sum(b.size for b in opened), 1e-9)
+        """Return the mean heat of the open backends for each unit of size, in RPCs per ms."""
+        open_backends = [b for b in self.backends if self._is_open(b)]
+        return sum(b.heat for b in open_backends) / max(sum(b.size for b in open_backends), 1e-9)
 
     def _plan_tables(self) -> None:
-        """Decides every held table anew: the owner, displaced ones placed again, and the spares."""
+        """Decide the desired shares of every leased slice.
+
+        Slices without a ready owner get a new one, the hottest first. An unsliced site's table
+        holds all open backends by size.
+        """
         self.needs_planning = False
         if not self.settings.sliced:
-            for one in self.slices:
-                one.desired_shares = {
+            for slice_ in self.slices:
+                slice_.desired_shares = {
                     b: b.size * self._warm_up_share(b) for b in self.backends if self._is_open(b)
-                } or one.table
+                } or slice_.table
             return
         self._update_heat()
-        ready = [b for b in self.backends if b.phase is Phase.READY]
-        usable = [b for b in ready if self._is_usable(b)] or ready
-        if not ready:
+        ready_backends = [b for b in self.backends if b.phase is Phase.READY]
+        usable_backends = [b for b in ready_backends if self._is_usable(b)] or ready_backends
+        if not ready_backends:
             return
-        for backend in usable:  # whoever runs is better than nobody
+        # If no ready backend is usable, ejected ones are used: they are better than none.
+        for backend in usable_backends:
             backend.ejected_until_ms = min(backend.ejected_until_ms, self.now_ms)
-        for one in sorted(
+        for slice_ in sorted(
             (s for s in self.slices if s.owner is None or s.owner.phase is not Phase.READY),
             key=lambda s: -s.heat,
         ):
-            one.owner = owner = self._choose_new_owner(one, usable)
-            owner.heat, owner.owned_heat = owner.heat + one.heat, owner.owned_heat + one.heat
-        warm = [b for b in usable if self._warm_up_share(b) >= 1]
-        for one in self.slices:
-            one.desired_shares = self._desired_shares(one, warm)
-
-    def _desired_shares(self, one: Slice, warm: list[Backend]) -> dict[Backend, float]:
-        """What part of a slice's RPCs goes where: to its owner what it may have, the rest to the spare."""
-        spare = None if self.settings.has_single_owner else self._choose_standby(one, warm)
-        if spare is None:
-            return {one.owner: 1.0}
-        spare.standby_heat, part = spare.standby_heat + one.heat, self._owner_share(one.owner)
-        return {one.owner: part, spare: 1.0 - part} if part else {spare: 1.0}
-
-    def _choose_new_owner(self, one: Slice, usable: list[Backend]) -> Backend:
-        """Where a slice goes that lost its backend: the least crowded; cold ones only within their room."""
-        roomy = [b for b in usable if self._has_room(b, one)]
-        roomy = roomy or [b for b in usable if self._warm_up_share(b) >= 1] or usable
+            owner = self._choose_new_owner(slice_, usable_backends)
+            slice_.owner = owner
+            owner.heat += slice_.heat
+            owner.owned_heat += slice_.heat
+        warm_backends = [b for b in usable_backends if self._warm_up_share(b) >= 1]
+        for slice_ in self.slices:
+            slice_.desired_shares = self._desired_shares(slice_, warm_backends)
+
+    def _desired_shares(self, slice_: Slice, warm_backends: list[Backend]) -> dict[Backend, float]:
+        """Return the share of a slice's RPCs by backend: what the owner may get, and the rest.
+
+        The rest goes to the standby.
+        """
+        standby = (
+            None if self.settings.has_single_owner else self._choose_standby(slice_, warm_backends)
+        )
+        if standby is None:
+            return {slice_.owner: 1.0}
+        standby.standby_heat += slice_.heat
+        owner_share = self._owner_share(slice_.owner)
+        return (
+            {slice_.owner: owner_share, standby: 1.0 - owner_share}
+            if owner_share
+            else {standby: 1.0}
+        )
+
+    def _choose_new_owner(self, slice_: Slice, usable_backends: list[Backend]) -> Backend:
+        """Return the least crowded backend for a slice that has lost its owner.
+
+        A backend in warm-up is chosen only within its heat limit, unless there is no other.
+        """
+        candidates = [b for b in usable_backends if self._has_room(b, slice_)]
+        candidates = (
+            candidates
+            or [b for b in usable_backends if self._warm_up_share(b) >= 1]
+            or usable_backends
+        )
         return min(
-            [b for b in roomy if not b.consecutive_violations] or roomy,
+            [b for b in candidates if not b.consecutive_violations] or candidates,
             key=lambda b: (
-                (b.heat + one.heat)
+                (b.heat + slice_.heat)
                 / (b.size * self._warm_up_share(b))
-                * (SPARE_LIKED if b in one.table else 1.0)
+                * (PRESENT_ENTRY_HEAT_FACTOR if b in slice_.table else 1.0)
             ),
         )
 
-    def _choose_standby(self, one: Slice, warm: list[Backend]) -> Backend | None:
-        """A standby line, for who loses the owner: one that the table has, else one in another zone."""
-        had = [
-            b for b in one.table if b is not one.owner and self._is_warm(b) and not b.is_withdrawn
+    def _choose_standby(self, slice_: Slice, warm_backends: list[Backend]) -> Backend | None:
+        """Return a warm backend that serves a slice's RPCs if the owner is lost, or None.
+
+        One that the table already holds comes first, else the least crowded, best in another zone.
+        """
+        present_standbys = [
+            b
+            for b in slice_.table
+            if b is not slice_.owner and self._is_warm(b) and not b.is_withdrawn
         ]
-        if had:
-            return max(had, key=lambda b: (not b.consecutive_violations, one.table[b]))
+        if present_standbys:
+            return max(
+                present_standbys, key=lambda b: (not b.consecutive_violations, slice_.table[b])
+            )
         return min(
-            (b for b in warm if b is not one.owner),
+            (b for b in warm_backends if b is not slice_.owner),
             default=None,
             key=lambda b: (
-                b.zone == one.owner.zone,
+                b.zone == slice_.owner.zone,
                 b.consecutive_violations > 0,
                 (b.heat + b.standby_heat) / b.size,
             ),
         )
 
-    def _pending_entries(self, one: Slice) -> list[SetEntry]:
-        """The fewest lines that bring a table to what is wanted, as each goes to every proxy.
+    def _pending_entries(self, slice_: Slice) -> list[SetEntry]:
+        """Return the fewest entries that bring a table to the desired shares.
 
-        Others that are a trace beside the main one stay.
+        Each entry goes to every proxy, so stale entries whose weight is a trace beside the main
+        one's stay. Weights are relative: the main entry keeps its present weight where it can, and
+        the others are set in proportion to it.
         """
-        want, have = one.desired_shares, one.table
-        stale = (
+        desired = slice_.desired_shares
+        table = slice_.table
+        stale_entries = (
             []
             if self.settings.has_single_owner
-            else [SetEntry(one, b, 0.0) for b in have if b not in want]
+            else [SetEntry(slice_, b, 0.0) for b in table if b not in desired]
         )
-        dead = [
-            o
-            for o in stale
-            if o.backend.phase is not Phase.READY
-            and share_if_active(have, o.backend) > NEAR
-            or self._is_open(o.backend)
-            and o.backend.is_withdrawn
-            and self._warm_up_share(o.backend) < 1
+        # Backends that are not ready but still have a share, and readmissible ones in warm-up,
+        # which would get this share when they are readmitted.
+        urgent_removals = [
+            entry
+            for entry in stale_entries
+            if (
+                entry.backend.phase is not Phase.READY
+                and share_if_active(table, entry.backend) > SHARE_TOLERANCE_FRACTION
+            )
+            or (
+                self._is_open(entry.backend)
+                and entry.backend.is_withdrawn
+                and self._warm_up_share(entry.backend) < 1
+            )
         ]
         if not self.settings.sliced or self.settings.has_single_owner:
-            return [SetEntry(one, b, w) for b, w in want.items() if have.get(b) != w] + stale
-        main = max(want, key=want.get)
-        top = have.get(main, 0.0)
-        other = max((have[o.backend] for o in stale if o.backend.phase is Phase.READY), default=0.0)
-        if top * SPARE_WEIGHT < other / 2 or not top:
-            top = max(have.values()) / SPARE_WEIGHT if have else 1.0
-        if top > WEIGHT_MOST:
-            return [
-                SetEntry(one, b, max(w / want[main], SPARE_WEIGHT)) for b, w in want.items()
-            ] + stale
-        owed = []
-        for backend, part in want.items():
-            weight, present = max(part / want[main], SPARE_WEIGHT), have.get(backend, 0.0) / top
-            if not present or abs(present - weight) > NEAR * (weight > SPARE_WEIGHT) + SPARE_WEIGHT:
-                owed.append(SetEntry(one, backend, weight * top))
+            changed_entries = [
+                SetEntry(slice_, b, share) for b, share in desired.items() if table.get(b) != share
+            ]
+            return changed_entries + stale_entries
+        main_backend = max(desired, key=desired.get)
+        main_weight = table.get(main_backend, 0.0)
+        max_stale_weight = max(
+            (table[entry.backend] for entry in stale_entries if entry.backend.phase is Phase.READY),
+            default=0.0,
+        )
+        # The main weight rises if a stale entry would be more than a trace beside it.
+        if main_weight * STANDBY_WEIGHT_FRACTION < max_stale_weight / 2 or not main_weight:
+            main_weight = max(table.values()) / STANDBY_WEIGHT_FRACTION if table else 1.0
+        if main_weight > MAX_WEIGHT:
+            new_entries = [
+                SetEntry(slice_, b, max(share / desired[main_backend], STANDBY_WEIGHT_FRACTION))
+                for b, share in desired.items()
+            ]
+            return new_entries + stale_entries
+        due_entries = []
+        for backend, share in desired.items():
+            # Both weights are fractions of the main weight.
+            weight = max(share / desired[main_backend], STANDBY_WEIGHT_FRACTION)
+            present_weight = table.get(backend, 0.0) / main_weight
+            if (
+                not present_weight
+                or abs(present_weight - weight)
+                > SHARE_TOLERANCE_FRACTION * (weight > STANDBY_WEIGHT_FRACTION)
+                + STANDBY_WEIGHT_FRACTION
+            ):
+                due_entries.append(SetEntry(slice_, backend, weight * main_weight))
+        # Entries of gone backends are removed when the table is written anyway.
         return (
-            owed
-            + dead
-            + [o for o in stale if owed and o.backend.phase is Phase.GONE and o not in dead]
+            due_entries
+            + urgent_removals
+            + [
+                entry
+                for entry in stale_entries
+                if due_entries
+                and entry.backend.phase is Phase.GONE
+                and entry not in urgent_removals
+            ]
         )
 
-    # From wanted to present.
+    # From the present to the desired state
 
     def _update_pending_orders(self) -> None:
-        """Decides anew and lists what is owed: what shifts RPCs before standby lines, the hottest first."""
+        """Plan the tables anew, and list the slices with pending orders by importance.
+
+        Orders that shift RPCs come before those of standby entries, and hot slices before cold.
+        """
         self._plan_tables()
-        for one in self.slices:
-            one.pending_orders = (
-                self._pending_entries(one) if one.desired_shares else []
-            ) + self._pending_levels(one)
-            live = active_shares(one.table)
-            one.shifts_rpcs = self._admission_levels(one) != one.admission_levels or any(
-                abs(live.get(b, 0.0) - part) > NEAR for b, part in one.desired_shares.items()
+        for slice_ in self.slices:
+            slice_.pending_orders = (
+                self._pending_entries(slice_) if slice_.desired_shares else []
+            ) + self._pending_levels(slice_)
+            present_shares = active_shares(slice_.table)
+            slice_.shifts_rpcs = self._admission_levels(slice_) != slice_.admission_levels or any(
+                abs(present_shares.get(b, 0.0) - share) > SHARE_TOLERANCE_FRACTION
+                for b, share in slice_.desired_shares.items()
             )
         self.pending_slices = sorted(
-            (one for one in self.slices if one.pending_orders),
+            (slice_ for slice_ in self.slices if slice_.pending_orders),
             key=lambda s: (not s.shifts_rpcs, -(s.heat or 0.0)),
         )
 
     def _may_push(self) -> bool:
-        late, most = (
-            self.now_ms - self.channel.last_push_ms >= PUSH_AFTER,
-            self.settings.max_pushes_per_window or NEVER,
-        )
-        return (late or self.channel.unconfirmed_receivers() <= MOST * len(self.proxies)) and (
-            len(self.channel.push_times_ms) < (1.0 - KEPT_PART) * most
-        )
+        """Return whether orders that can wait may go out now.
+
+        Enough proxies must have confirmed the last push, or the wait for them be over, and part of
+        the pushes that the site allows in a window must be left.
+        """
+        has_waited = self.now_ms - self.channel.last_push_ms >= MAX_CONFIRMATION_WAIT_MS
+        max_pushes = self.settings.max_pushes_per_window or INFINITY
+        return (
+            has_waited
+            or self.channel.unconfirmed_receivers() <= MAX_UNCONFIRMED_FRACTION * len(self.proxies)
+        ) and (len(self.channel.push_times_ms) < (1.0 - URGENT_RESERVE_FRACTION) * max_pushes)
 
     def _emit_orders(self) -> list[Order]:
-        """Orders the difference between wanted and present state, as the channel allows.
+        """Return the orders that bring the present state to the desired one, within the channel.
 
-        Withdrawals and bare tables go at once, from a reserve; the rest waits for most confirmations.
+        Withdrawals, and tables without an active entry, are sent at once and may use a reserve of
+        the channel. All other orders wait until most proxies have confirmed the push before.
+
+        All capacities, reserves and rooms are in table entries for each proxy.
         """
         if self.needs_planning:
             self._update_pending_orders()
-        self.channel.drop_before(
+
+        # The channel forgets messages that must have left it, and pushes outside the window. While
+        # the answer to the last call is awaited, its message counts as sent now.
+        oldest_waiting_ms = (
             self.now_ms
-            - SLOWEST * self.settings.max_pending_entries / self.settings.channel_entries_per_ms,
+            - MAX_CHANNEL_SLOWDOWN_FACTOR
+            * self.settings.max_pending_entries
+            / self.settings.channel_entries_per_ms
+        )
+        self.channel.drop_before(
+            oldest_waiting_ms,
             self.now_ms - self.settings.push_window_ms,
             self.now_ms * self.channel_state.awaits_answer,
         )
-        # While proxies come in, more may join before the call is carried out, and get it, too.
-        coming = (
-            self.settings.sliced and self.now_ms - self.last_join_ms < PUSH_AFTER * JOINS_GATHER
+
+        # Room in the channel. While proxies join, more may join before the call is carried out;
+        # they get its orders, too.
+        expects_joins = (
+            self.settings.sliced
+            and self.now_ms - self.last_join_ms < MAX_CONFIRMATION_WAIT_MS * JOIN_GATHERING_FRACTION
+        )
+        receivers = max(len(self.proxies), self.settings.proxy_count if expects_joins else 1)
+        overhead = self.settings.message_overhead_entries + 1  # one more for the seal
+        orders = []
+        capacity = self.settings.max_pending_entries / receivers
+        usable_capacity = capacity * USABLE_CHANNEL_FRACTION - overhead
+        room = usable_capacity - self.channel.waiting_entries() / receivers
+
+        # Reserves. Each has room for a further message that withdraws as many backends as may be
+        # suspect at once. A small channel keeps back less.
+        batch_entries = overhead + MAX_SUSPECT_BACKENDS_FRACTION * len(self.backends)
+        urgent_reserve = max(
+            min(capacity * URGENT_RESERVE_FRACTION, usable_capacity / 2),
+            min(batch_entries, usable_capacity * MAX_URGENT_RESERVE_FRACTION),
+        )
+        withdrawal_reserve = max(
+            min(capacity * WITHDRAWAL_RESERVE_FRACTION, usable_capacity / 4),
+            min(batch_entries, usable_capacity / 2),
+        )
+
+        def min_room(entries: int, reserve: float) -> float:
+            """Return the room beside a reserve from which on a push is worth its overhead."""
+            return min(entries, overhead, (usable_capacity - reserve) / 2)
+
+        has_pushes_left = len(self.channel.push_times_ms) < (
+            self.settings.max_pushes_per_window or INFINITY
         )
-        each = max(len(self.proxies), self.settings.proxy_count if coming else 1)
-        head, orders = self.settings.message_overhead_entries + 1, []
-        whole = self.settings.max_pending_entries / each
-        most = (
-            whole * URGENT_PART - head
-        )  # that is ever free; a small channel keeps back less of it
-        room = most - self.channel.waiting_entries() / each
-        batch = head + BROAD_MOST * len(
-            self.backends
-        )  # for a further message that withdraws so many
-        kept = max(min(whole * KEPT_PART, most / 2), min(batch, most * MOST_KEPT))
-        spared = max(min(whole * SPARED_PART, most / 4), min(batch, most / 2))
-
-        def worth(lines: int, back: float) -> float:  # the room at which a push is worth its head
-            return min(lines, head, (most - back) / 2)
-
-        room *= len(self.channel.push_times_ms) < (self.settings.max_pushes_per_window or NEVER)
-        # A call that broke off has not run if none confirmed it within a message's way of all before it.
+        room *= has_pushes_left
+
+        # Repetition of a call of unknown fate. After the usual wait for confirmations the call is
+        # taken as not run. One that broke off is taken as not run earlier: if nobody confirms it in
+        # the time of a message there and back, after all messages before it were confirmed. To
+        # repeat a call that may have run takes room for its entries.
         if self.channel.missing_confirmations_before(self.channel_state.unknown_seal):
             self.unknown_call_blocked_ms = self.now_ms
-        since = self.now_ms - self.channel.last_push_ms
-        alone = min(since, self.now_ms - self.unknown_call_blocked_ms)
-        unrun = (
-            since >= PUSH_AFTER
-            or self.channel_state.is_broken
-            and alone > ANSWER_PART * self.settings.max_transit_ms
+        since_push_ms = self.now_ms - self.channel.last_push_ms
+        since_blocked_ms = min(since_push_ms, self.now_ms - self.unknown_call_blocked_ms)
+        has_not_run = since_push_ms >= MAX_CONFIRMATION_WAIT_MS or (
+            self.channel_state.is_broken
+            and since_blocked_ms > ANSWER_TRANSIT_MULTIPLE * self.settings.max_transit_ms
         )
         if self.channel_state.unknown_seal and (
-            unrun or room > self.channel.entries_per_receiver(self.channel_state.unknown_seal)
+            has_not_run or room > self.channel.entries_per_receiver(self.channel_state.unknown_seal)
         ):
-            self.channel.record_repeat(self.channel_state.unknown_seal, self.now_ms, unrun)
+            self.channel.record_repeat(self.channel_state.unknown_seal, self.now_ms, has_not_run)
             self.other_orders.append(RepeatCall(self.channel_state.unknown_seal))
         room *= self.channel_state.is_free
-        leaving = min(
-            sum(b.phase is not Phase.READY and not b.is_withdrawn for b in self.backends), most / 2
+
+        # Withdrawals. All backends that leave go in one message, since a second one would have to
+        # wait for room for its overhead as well. Ejected backends may not use the reserve.
+        leaving_count = min(
+            sum(b.phase is not Phase.READY and not b.is_withdrawn for b in self.backends),
+            usable_capacity / 2,
         )
-        for (
-            backend
-        ) in self.backends:  # all who leave in one message: another would wait for its head, too
-            if (
-                not backend.is_withdrawn
-                and self._must_withdraw(backend)
-                and room
-                > (
-                    max(1, leaving - len(orders))
+        for backend in self.backends:
+            if not backend.is_withdrawn and self._must_withdraw(backend):
+                required_room = (
+                    max(1, leaving_count - len(orders))
                     if backend.phase is not Phase.READY or self._is_open(backend)
-                    else kept + 1
+                    else urgent_reserve + 1
                 )
-            ):
-                orders.append(SetWithdrawn(backend, True))
-                backend.is_withdrawn, self.needs_planning, room = True, True, room - 1
-        # Who joined late has missed the withdrawals so far. They go together, as each push costs its head,
-        # those first whom most RPCs would reach. A further message that withdraws a batch always has room.
-        missed = [
+                if room > required_room:
+                    orders.append(SetWithdrawn(backend, True))
+                    backend.is_withdrawn = True
+                    self.needs_planning = True
+                    room -= 1
+
+        # Repeated withdrawals, for proxies that joined late and have missed them. They go together,
+        # since each push costs its overhead, and those that most RPCs would reach go first. A
+        # further message that withdraws a batch always has room.
+        missed_withdrawals = [
             b
             for b in self.unannounced_withdrawals
-            if b.is_withdrawn and any(b in one.table for one in self.slices)
+            if b.is_withdrawn and any(b in slice_.table for slice_ in self.slices)
         ]
-        more = min(batch - head, most / 2)
-        if self.now_ms >= self.announce_withdrawals_at_ms and room - more > worth(
-            len(missed), more
+        batch_reserve = min(batch_entries - overhead, usable_capacity / 2)
+        if self.now_ms >= self.announce_withdrawals_at_ms and room - batch_reserve > min_room(
+            len(missed_withdrawals), batch_reserve
         ):
-            missed.sort(
+            missed_withdrawals.sort(
                 key=lambda b: (
-                    -max(share_if_active(one.table, b) for one in self.slices if b in one.table)
+                    -max(
+                        share_if_active(slice_.table, b)
+                        for slice_ in self.slices
+                        if b in slice_.table
+                    )
                 )
             )
-            told, self.unannounced_withdrawals = (
-                missed[: int(room - more)],
-                dict.fromkeys(missed[int(room - more) :]),
+            announced = missed_withdrawals[: int(room - batch_reserve)]
+            self.unannounced_withdrawals = dict.fromkeys(
+                missed_withdrawals[int(room - batch_reserve) :]
             )
-            orders += [SetWithdrawn(b, True) for b in told]
-            room, missed = room - len(told), missed[len(told) :]
+            orders += [SetWithdrawn(b, True) for b in announced]
+            room -= len(announced)
+            missed_withdrawals = missed_withdrawals[len(announced) :]
+
+        # Tables without an active entry, be it by a withdrawal now or by one before the slice was
+        # granted. Only their main entry is sent; the rest can wait.
         if self.needs_planning:
             self._update_pending_orders()
-        # Nobody is left without a line: not by a withdrawal now, nor by one before the slice was given.
-        stripped = [one for one in self.pending_slices if has_no_active_entry(one.table)]
-        if room - spared > worth(len(stripped), spared):  # their main lines only: the rest can wait
-            for one in stripped:
-                one.pending_orders = sorted(
-                    one.pending_orders, key=lambda order: -getattr(order, "weight", 0.0)
+        bare_slices = [
+            slice_ for slice_ in self.pending_slices if has_no_active_entry(slice_.table)
+        ]
+        if room - withdrawal_reserve > min_room(len(bare_slices), withdrawal_reserve):
+            for slice_ in bare_slices:
+                slice_.pending_orders = sorted(
+                    slice_.pending_orders, key=lambda order: -getattr(order, "weight", 0.0)
                 )[:1]
-            room, self.needs_planning = (
-                self._send_pending(stripped, room - spared, orders) + spared,
-                True,
+            room = (
+                self._send_pending(bare_slices, room - withdrawal_reserve, orders)
+                + withdrawal_reserve
             )
-        # Pushes of a line or two, one after the other, would take the room that all of these wait for.
-        if self._may_push() and not missed and not any(one.pending_orders for one in stripped):
-            room, back, kept = room - kept, kept, 0.0
-            if (
-                self.admission_reset_due and room > 1
-            ):  # only after a try that never ran: no effect comes twice
-                self.admission_reset_due, room = False, room - 1
+            self.needs_planning = True
+
+        # All other tables and levels. They wait while urgent orders are left: pushes of an entry or
+        # two, one after the other, would take the room that all of those wait for.
+        if (
+            self._may_push()
+            and not missed_withdrawals
+            and not any(slice_.pending_orders for slice_ in bare_slices)
+        ):
+            reserve = urgent_reserve
+            room -= reserve
+            urgent_reserve = 0.0
+            # Only attempts that never ran are retried, so that no RPC takes effect twice.
+            if self.admission_reset_due and room > 1:
+                self.admission_reset_due = False
+                room -= 1
                 orders.append(
                     SetAdmissionLevel(
                         self.methods_by_criticality[0] + self.methods_by_criticality[1],
                         None,
-                        LET_ALL,
+                        ADMIT_ALL_LEVEL,
                         RetryMode.NEVER_RAN,
                     )
                 )
-            if orders or room > worth(
-                sum(len(one.pending_orders) for one in self.pending_slices), back
+            if orders or room > min_room(
+                sum(len(slice_.pending_orders) for slice_ in self.pending_slices), reserve
             ):
                 room = self._send_pending(self.pending_slices, room, orders)
+
+        # Readmissions. A backend is readmitted once no table gives it more than it should get, or,
+        # if it is warm, where it would end the lack of an active entry.
         for backend in self.backends:
             if (
                 backend.is_withdrawn
-                and room > kept + 1
+                and room > urgent_reserve + 1
                 and self._is_open(backend)
                 and (
                     not self._exceeds_desired(backend)
                     or self._warm_up_share(backend) >= 1
                     and any(
-                        backend in one.table and has_no_active_entry(one.table)
-                        for one in self.slices
+                        backend in slice_.table and has_no_active_entry(slice_.table)
+                        for slice_ in self.slices
                     )
                 )
             ):
-                backend.is_withdrawn, self.needs_planning, room = False, True, room - 1
+                backend.is_withdrawn = False
+                self.needs_planning = True
+                room -= 1
                 self._clear_statistics(backend)
-                for one in (s for s in self.slices if backend in s.table):
-                    one.rpcs_shifted_at_ms = self.now_ms
+                for slice_ in (s for s in self.slices if backend in s.table):
+                    slice_.rpcs_shifted_at_ms = self.now_ms
                 orders.append(SetWithdrawn(backend, False))
+
+        # Proxies of an unsliced site are bound to its tables.
         for proxy in (
             self.proxies if self.channel_state.is_free and not self.settings.sliced else ()
         ):
             orders += [
-                BindProxy(one, proxy) for one in self.slices if one.table and not proxy.is_bound
+                BindProxy(slice_, proxy)
+                for slice_ in self.slices
+                if slice_.table and not proxy.is_bound
             ]
-            proxy.is_bound = all(one.table for one in self.slices)
+            proxy.is_bound = all(slice_.table for slice_ in self.slices)
+
         if orders:
-            self.last_seal = self.last_seal % 65_000 + 1
-            lines = len(orders) + head + (0 if self.settings.sliced else len(self.backends))
-            self.channel.record_sent(self.last_seal, lines, self.proxies, self.now_ms)
+            self.last_seal = self.last_seal % MAX_SEAL + 1
+            entries = len(orders) + overhead + (0 if self.settings.sliced else len(self.backends))
+            self.channel.record_sent(self.last_seal, entries, self.proxies, self.now_ms)
             orders.append(Seal(self.last_seal))
-        # A plan has run once its tables were sent and most proxies confirmed them.
+
+        # The moves are completed once their tables were sent and most proxies confirmed them.
         if (
             self.running_moves
-            and not any(one.pending_orders and one.shifts_rpcs for one in self.running_moves)
+            and not any(
+                slice_.pending_orders and slice_.shifts_rpcs for slice_ in self.running_moves
+            )
             and self._may_push()
         ):
             self.running_moves.clear()
+
         if self.now_ms >= self.follow_list_at_ms:
-            self.follow_list_at_ms, orders = NEVER, [*orders, FollowFleetList(True)]
+            self.follow_list_at_ms = INFINITY
+            orders = [*orders, FollowFleetList(True)]
         if self.now_ms >= self.next_wake_ms:
-            self.next_wake_ms = self.now_ms + (
-                beat := min(self.settings.report_interval_ms, ROUND_EVERY) / 2
-            )
-            orders.append(SetTimer(beat, 0))
+            timer_delay_ms = min(self.settings.report_interval_ms, ROUND_INTERVAL_MS) / 2
+            self.next_wake_ms = self.now_ms + timer_delay_ms
+            orders.append(SetTimer(timer_delay_ms, 0))
         return orders
 
     def _must_withdraw(self, backend: Backend) -> bool:
-        """Not open, or freshly started while tables still name it as if it were warm."""
+        """Return whether a backend is to be withdrawn from the proxies.
+
+        This holds for one that is not ready, that is ejected, or that was just started while
+        tables still give it the share of a warm one. A ready backend stays if a slice that it
+        shall serve has no other desired backend in use.
+        """
         if backend.phase is not Phase.READY:
             return True
         if self._is_open(backend) and (
-            self._warm_up_share(backend) > STEPS[0][1] or not self._exceeds_desired(backend)
+            self._warm_up_share(backend) > WARM_UP_STEPS[0][1] or not self._exceeds_desired(backend)
         ):
             return False
         return all(
-            any(not b.is_withdrawn and b is not backend for b in one.desired_shares)
-            for one in self.slices
-            if backend in one.desired_shares
+            any(not b.is_withdrawn and b is not backend for b in slice_.desired_shares)
+            for slice_ in self.slices
+            if backend in slice_.desired_shares
         )
 
     def _exceeds_desired(self, backend: Backend) -> bool:
-        """Whether a table gives a backend more than is wanted; a trace brings the cold what others refuse."""
+        """Return whether a table gives, or would give, a backend more than its desired share.
+
+        For a backend in warm-up any undesired entry is too much, however small its weight: it
+        brings the RPCs that other backends refuse.
+        """
         return any(
-            share_if_active(one.table, backend) - NEAR
-            > one.desired_shares.get(backend, 0.0) / (sum(one.desired_shares.values()) or 1.0)
-            or self._warm_up_share(backend) < 1
-            and backend not in one.desired_shares
-            for one in self.slices
-            if backend in one.table
+            share_if_active(slice_.table, backend) - SHARE_TOLERANCE_FRACTION
+            > slice_.desired_shares.get(backend, 0.0) / (sum(slice_.desired_shares.values()) or 1.0)
+            or (self._warm_up_share(backend) < 1 and backend not in slice_.desired_shares)
+            for slice_ in self.slices
+            if backend in slice_.table
         )
 
-    def _send_pending(self, owed: list[Slice], room: float, orders: list[Order]) -> float:
-        """Writes the lines that tables are owed, as far as there is room."""
-        for one in owed:
-            if not one.pending_orders or room <= len(one.pending_orders):
+    def _send_pending(self, slices: list[Slice], room: float, orders: list[Order]) -> float:
+        """Append the pending orders of slices to `orders`, and return the room that is left.
+
+        The orders of a slice are sent all or not at all; `room` is in table entries. The present
+        state of the slices changes with them.
+        """
+        for slice_ in slices:
+            if not slice_.pending_orders or room <= len(slice_.pending_orders):
                 continue
-            room, orders[len(orders) :] = room - len(one.pending_orders), one.pending_orders
-            one.rpcs_shifted_at_ms = self.now_ms if one.shifts_rpcs else one.rpcs_shifted_at_ms
-            for order in one.pending_orders:
+            room -= len(slice_.pending_orders)
+            orders[len(orders) :] = slice_.pending_orders
+            slice_.rpcs_shifted_at_ms = (
+                self.now_ms if slice_.shifts_rpcs else slice_.rpcs_shifted_at_ms
+            )
+            for order in slice_.pending_orders:
                 if type(order) is SetAdmissionLevel:
-                    one.admission_levels = self._admission_levels(one)
+                    slice_.admission_levels = self._admission_levels(slice_)
                 else:
-                    one.table = {
-                        **({} if self.settings.has_single_owner else one.table),
+                    slice_.table = {
+                        **({} if self.settings.has_single_owner else slice_.table),
                         order.backend: order.weight,
                     }
-            one.table, one.pending_orders = {b: w for b, w in one.table.items() if w}, []
-        self.pending_slices = [one for one in self.pending_slices if one.pending_orders]
+            slice_.table = {b: weight for b, weight in slice_.table.items() if weight}
+            slice_.pending_orders = []
+        self.pending_slices = [slice_ for slice_ in self.pending_slices if slice_.pending_orders]
         return room
 
-    def _admission_levels(self, one: Slice) -> tuple[float, float]:
-        """What is let in of the least criticality, which gives way first, and of the others.
+    def _admission_levels(self, slice_: Slice) -> tuple[float, float]:
+        """Return the fractions to admit of the least critical methods and of the others.
 
-        It follows its owner's zone; a slice whose own backend is calm lets all in.
+        The least critical methods are reduced first. The levels follow the zone of the slice's
+        owner. A slice whose owner is not crowded admits everything.
         """
         if (
             self.settings.admission_mode != "ratio"
-            or one.owner is None
-            or not self._is_crowded(one.owner)
+            or slice_.owner is None
+            or not self._is_crowded(slice_.owner)
         ):
             return 1.0, 1.0
-        low = len(self.methods_by_criticality[0]) / len(self.settings.methods)
-        cut = 1.0 - self.zone_admission.get(one.owner.zone, (1.0, 0.0))[0]
-        levels = max(1.0 - cut / low, 0.0), 1.0 - max(cut - low, 0.0) / max(1.0 - low, 0.1)
-        return tuple(round(level * LEVELS) / LEVELS for level in levels)
+        low_fraction = len(self.methods_by_criticality[0]) / len(self.settings.methods)
+        cut_fraction = 1.0 - self.zone_admission.get(slice_.owner.zone, (1.0, 0.0))[0]
+        levels = (
+            max(1.0 - cut_fraction / low_fraction, 0.0),
+            1.0 - max(cut_fraction - low_fraction, 0.0) / max(1.0 - low_fraction, 0.1),
+        )
+        return tuple(
+            round(level * ADMISSION_LEVEL_STEPS) / ADMISSION_LEVEL_STEPS for level in levels
+        )
 
-    def _pending_levels(self, one: Slice) -> list[SetAdmissionLevel]:
+    def _pending_levels(self, slice_: Slice) -> list[SetAdmissionLevel]:
+        """Return the orders that bring a slice's admission levels to the desired ones."""
         return [
-            SetAdmissionLevel(methods, one, part, RetryMode.NEVER_RAN)
-            for methods, part, former in zip(
-                self.methods_by_criticality, self._admission_levels(one), one.admission_levels
+            SetAdmissionLevel(methods, slice_, level, RetryMode.NEVER_RAN)
+            for methods, level, present_level in zip(
+                self.methods_by_criticality,
+                self._admission_levels(slice_),
+                slice_.admission_levels,
+                strict=False,
             )
-            if methods and part != former
+            if methods and level != present_level
         ]
--- a/tests/check_capture.py
+++ b/tests/check_capture.py
@@ -81,11 +81,11 @@
     played.run((HERE / "scenarios" / "violator.txt").read_text())
     from lifthinge import policy
 
-    mark, policy.VIOLATOR_MARK = policy.VIOLATOR_MARK, 50.0
+    mark, policy.VIOLATOR_MEDIAN_MULTIPLE = policy.VIOLATOR_MEDIAN_MULTIPLE, 50.0
     try:
         parted = Replay().play(played.records[0])
     finally:
-        policy.VIOLATOR_MARK = mark
+        policy.VIOLATOR_MEDIAN_MULTIPLE = mark
     assert parted is not None and parted.now > 5_000.0, parted
 
 
@@ -175,11 +175,11 @@
     """Another text on the same input: alike where it is the same, parted at the turn where it is not."""
     played, path = Recorded(), Path(policy_module.__file__)
     played.run((HERE / "scenarios" / "violator.txt").read_text())
-    for change, parted in (("", False), ("VIOLATOR_MARK, VIOLATOR_REPORTS = 50.0", True)):
+    for change, parted in (("", False), ("VIOLATOR_MEDIAN_MULTIPLE = 50.0", True)):
         text = path.read_text()
         if change:
-            assert text.count("VIOLATOR_MARK, VIOLATOR_REPORTS = 1.5") == 1
-            text = text.replace("VIOLATOR_MARK, VIOLATOR_REPORTS = 1.5", change)
+            assert text.count("VIOLATOR_MEDIAN_MULTIPLE = 1.5") == 1
+            text = text.replace("VIOLATOR_MEDIAN_MULTIPLE = 1.5", change)
         other = Path(tempfile.mkdtemp()) / "policy.py"
         other.write_text(text)
         against = Against(load_text(str(other)))
