--- a/lifthinge/policy.py
+++ b/lifthinge/policy.py
@@ -91,7 +91,8 @@
 
 # Tables
 
-# Shares that differ by less are taken as equal, and a share this close to a step reaches it.
+# Shares that differ by up to this are taken as equal, and a share this close below a step of the
+# warm-up reaches it.
 SHARE_TOLERANCE_FRACTION = 0.02
 # A standby entry has this fraction of the owner's weight, or less.
 STANDBY_WEIGHT_FRACTION = 0.001
@@ -111,7 +112,8 @@
 MIN_SLOW_FAILING_FRACTION = 0.95
 # A backend up to this latency ratio is quick, which means that it is not crowded.
 MAX_QUICK_LATENCY_RATIO = 2.5
-# Number of recent attempts from which on a backend is judged by its failures.
+# Number of recent attempts from which on a backend is judged by its failures. No report is limited
+# to less.
 MIN_JUDGED_ATTEMPTS = 4.0
 # A backend with this fraction of aborted attempts is a suspect.
 MIN_SUSPECT_FRACTION = 0.1
@@ -121,7 +123,7 @@
 # Duration of a backend's first ejection. It doubles at each of the next two ejections.
 FIRST_EJECTION_MS = 8_000.0
 # A backend hangs if it should have got this number of RPCs, and none has succeeded for the longest
-# soft deadline.
+# soft deadline (for the longest deadline if it is crowded) and for two mean report spans.
 MIN_HANG_RPCS = 8.0
 # The bins of `Backend.outcomes` are addressed by these values.
 OK_OUTCOME = 0.0
@@ -156,7 +158,8 @@
 
 # Fraction of the channel's queue that is ever used.
 USABLE_CHANNEL_FRACTION = 0.9
-# Fraction of the queue that is kept free of entries that can wait.
+# Fraction of the queue, and of the pushes allowed in a window, that is kept free of orders that can
+# wait.
 URGENT_RESERVE_FRACTION = 0.5
 # Fraction of the queue that is kept for withdrawals, and free of entries for tables that lack an
 # active entry.
@@ -184,7 +187,7 @@
 # Below this stress a zone admits more.
 LOW_STRESS_FRACTION = 0.45
 # To admit less, a zone multiplies its admitted fraction by the fraction of attempts that succeed,
-# which is limited to these two bounds.
+# limited to the range from this bound to the next constant.
 MIN_ADMISSION_CUT_FACTOR = 0.7
 MAX_ADMISSION_CUT_FACTOR = 0.8
 # To admit more, a zone adds this to its admitted fraction.
@@ -823,6 +826,7 @@
         if len(ejected_backends) + suspect_count > max(
             MAX_SUSPECT_BACKENDS_FRACTION * len(ready_backends), 1
         ):
+            # The trouble is broad: ejected backends return, and no other is ejected.
             for backend in ejected_backends:
                 backend.ejected_until_ms = self.now_ms
             return
@@ -1256,7 +1260,8 @@
         """Return the orders that bring the present state to the desired one, within the channel.
 
         Withdrawals, and tables without an active entry, are sent at once and may use a reserve of
-        the channel. All other orders wait until most proxies have confirmed the push before.
+        the channel. All other orders wait until enough proxies have confirmed the push before, or
+        the wait for them is over.
 
         All capacities, reserves and rooms are in table entries for each proxy.
         """
@@ -1557,6 +1562,7 @@
             return 1.0, 1.0
         low_fraction = len(self.methods_by_criticality[0]) / len(self.settings.methods)
         cut_fraction = 1.0 - self.zone_admission.get(slice_.owner.zone, (1.0, 0.0))[0]
+        # The last divisor stays above 0 where all methods are of the least criticality.
         levels = (
             max(1.0 - cut_fraction / low_fraction, 0.0),
             1.0 - max(cut_fraction - low_fraction, 0.0) / max(1.0 - low_fraction, 0.1),
