--- a/lifthinge/memory/pending_orders.py
+++ b/lifthinge/memory/pending_orders.py
@@ -62,7 +62,7 @@
         self._pending += [PendingOrder(order, body) for order, body in orders]
 
     def next_batch(self, budget_bytes: int) -> list[PendingOrder]:
-        """Return the first orders that fit, joined by commas, into the bytes; at least one."""
+        """Return the first orders whose bodies, joined by commas, fit the budget; at least one."""
         batch: list[PendingOrder] = []
         for pending in self._pending:
             budget_bytes -= len(pending.body) + 1  # the last order has no comma: hence -1 below
--- a/lifthinge/memory/registry.py
+++ b/lifthinge/memory/registry.py
@@ -31,7 +31,7 @@
 
     backends: dict[str, Backend] = field(default_factory=dict)
     addresses: dict[Backend, tuple[str, int]] = field(default_factory=dict)
-    listings: dict[Backend, Listing] = field(default_factory=dict)  # all but those gone
+    listings: dict[Backend, Listing] = field(default_factory=dict)  # without backends that are gone
     version: int = -1  # of the fleet list; -1: none was received
     slices: dict[int, Slice] = field(default_factory=dict)
     leased_slices: dict[Slice, None] = field(default_factory=dict)  # used as a set
@@ -51,7 +51,7 @@
         return self.backends[backend_id]
 
     def forget(self, backend: Backend) -> None:
-        """Drop a backend unless it is listed again; keep the id of a withdrawn one."""
+        """Drop a backend unless it is listed again; remember the id if it is withdrawn."""
         if backend in self.listings or self.backends.get(backend.backend_id) is not backend:
             return
         del self.backends[backend.backend_id]
--- a/lifthinge/service/config.py
+++ b/lifthinge/service/config.py
@@ -18,7 +18,7 @@
 
 
 class StartupError(Exception):
-    """The program can't start; `key` names the variable, setting or file key at fault."""
+    """The program can't start; `key` names the variable or the configuration key at fault."""
 
     def __init__(self, key: str, why: str) -> None:
         super().__init__(f"{key}: {why}")
@@ -38,8 +38,8 @@
     peers: tuple[Address, ...]
     peers_all: Address | None  # an address that reaches all peers at once
     seed: int
-    sockets: int  # limit
-    memory_mb: float  # limit
+    sockets: int  # the most that may be open
+    memory_mb: float  # the most that may be used
     known: dict[str, Any]  # the fleet list as last held, maybe out of date
     terms: SiteSettings
     site: SiteLayout
@@ -76,7 +76,8 @@
     )
     limits = _read_object(conf, "limits")
     try:
-        terms, site = read_settings(conf.get("settings")), read_layout(conf.get("settings"))
+        terms = read_settings(conf.get("settings"))
+        site = read_layout(conf.get("settings"))
     except SettingsError as error:
         raise StartupError("settings", str(error)) from None
     peers = conf.get("peers", []) if site.has_peers else []
--- a/lifthinge/service/controller.py
+++ b/lifthinge/service/controller.py
@@ -240,7 +240,7 @@
             self.agreed_source.close()
 
     def publish(self, events: list[Event]) -> None:
-        """Queue events; those of one loop turn are decided on together after it."""
+        """Queue events; all that are queued in one loop turn are decided on together."""
         self._events += events
         if not self._is_turn_scheduled:
             self._is_turn_scheduled = True
--- a/lifthinge/service/member.py
+++ b/lifthinge/service/member.py
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 EXIT_MEMBER_FAILED = 1  # exit status
-MAX_SOCKETS = 8_192
+MAX_SOCKETS = 8_192  # limit from which those of connections and requests are derived
 
 
 class MemberStartupError(Exception):
--- a/lifthinge/service/run.py
+++ b/lifthinge/service/run.py
@@ -28,7 +28,10 @@
 
 
 def unix_clock() -> Callable[[], float]:
-    """Return a clock of Unix time in ms that never goes back: it is monotonic after one reading."""
+    """Return a clock of Unix time in ms that never goes back.
+
+    It adds the monotonic clock to one reading of the system clock.
+    """
     offset = time.time() - time.monotonic()
     return lambda: (offset + time.monotonic()) * MS_PER_S
 
