--- a/lifthinge/wire/http.py
+++ b/lifthinge/wire/http.py
@@ -58,8 +58,8 @@
 
 from lifthinge.wire.buffer import Buffer
 
-MAX_HEAD_BYTES = 8192
-MAX_BODY_BYTES = 1 << 20
+MAX_HEAD_BYTES = 8192  # of the status line and the headers, with line ends
+MAX_BODY_BYTES = 1 << 20  # of the decoded body
 _STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9]{2})(?: [^\r\n]*)?")
 _HEADER_LINE = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*(.*?)[ \t]*")
 _CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;.*)?")
--- a/lifthinge/wire/inbound.py
+++ b/lifthinge/wire/inbound.py
@@ -32,7 +32,7 @@
 CLOSE_TIMEOUT_MS = 300.0  # for sending what is still buffered when a connection is closed
 SEND_BUFFER_BYTES = 32 << 10  # kernel send buffer: bounds the memory of a peer that does not read
 MAX_ACCEPTS_PER_TURN = 32  # connections accepted in one turn of the event loop
-MIN_TURNS_TO_FILL = 16  # loop turns that it takes at least to accept the maximum of connections
+MIN_TURNS_TO_FILL = 16  # loop turns needed at least to accept the maximum number of connections
 ACCEPT_BACKLOG_CONNECTIONS = 1024  # connections that the kernel queues until they are accepted
 
 
@@ -157,6 +157,7 @@
         return None
 
     def _register(self, zone: int) -> None:
+        """Make the connection a collector of a zone, with the full message size."""
         if self.state is InboundState.UNREGISTERED:
             self._deadline.cancel()
             self._deadline = self.runtime.deadlines.set(MAX_IDLE_MS, self._check_idle)
--- a/lifthinge/wire/relay_client.py
+++ b/lifthinge/wire/relay_client.py
@@ -193,5 +193,6 @@
             await self._unknown_call_resolved.wait()
 
     def _resolve_unknown_call(self) -> None:
+        """Note that no call's fate is unknown, and let `run` go on."""
         self.unknown_seal = 0
         self._unknown_call_resolved.set()
--- a/lifthinge/wire/relay_watch.py
+++ b/lifthinge/wire/relay_watch.py
@@ -75,11 +75,13 @@
         super().on_closed()
 
     def _restart_silence_deadline(self) -> None:
+        """Set the deadline by which further bytes must arrive."""
         if self._silence_deadline:
             self._silence_deadline.cancel()
         self._silence_deadline = self.runtime.deadlines.set(MAX_SILENCE_MS, self._on_silence)
 
     def _on_silence(self) -> None:
+        """Ask for another stream; this one may only be slow."""
         self.request_replacement(Failure(self.send_progress(), FailureCause.LATE, "silent"))
 
     def request_replacement(self, result: CallResult) -> None:
--- a/lifthinge/wire/translator.py
+++ b/lifthinge/wire/translator.py
@@ -40,7 +40,7 @@
 MAX_NUMBER = 1e15  # of load values, and of start times in ms
 MAX_SEAL = 65_535  # largest seal number
 MIN_WEIGHT = 0.0005  # largest weight that three decimal places show as 0
-_REQUIRED = object()
+_REQUIRED = object()  # default of a field that must not be missing
 
 
 class _InvalidFieldError(Exception):
