--- a/lifthinge/agreed/__init__.py
+++ b/lifthinge/agreed/__init__.py
@@ -1,1 +1,1 @@
-"""What the members agree on: versions of a checked document, and who proposed them; no I/O."""
+"""The replicated state machine of the cluster: versions of a checked document. It does no I/O."""
