--- a/lifthinge/cli/store.py
+++ b/lifthinge/cli/store.py
@@ -19,13 +19,15 @@
     """Reads a member's folder without changing it: what it holds, or where it is damaged."""
     from lifthinge.cluster.disk import rebuild_state
     from lifthinge.store.files import Files
-    from lifthinge.store.store import Damage, survey
+    from lifthinge.store.store import StoreProblem, inspect_folder
 
     if not Path(folder).is_dir():
         stop(f"{folder}: no such folder")
-    found = survey(Files(Path(folder)))
-    read = found if isinstance(found, Damage) else rebuild_state(found.snapshot, found.records)
-    if isinstance(read, Damage):
+    found = inspect_folder(Files(Path(folder)))
+    read = (
+        found if isinstance(found, StoreProblem) else rebuild_state(found.snapshot, found.records)
+    )
+    if isinstance(read, StoreProblem):
         stop(f"{folder}/{read}", FAILED)
     image, cluster = read
     last = image.entries[-1].index if image.entries else image.snapshot.index
@@ -36,8 +38,8 @@
         "voted": image.voted_for,
         "snapshot": image.snapshot.index,
         "last": last,
-        "segments": found.last - found.first + 1,
-        "torn_bytes": found.torn,
-        "left_by_a_crash": len(found.stale),
+        "segments": found.last_segment - found.first_segment + 1,
+        "torn_bytes": found.torn_bytes,
+        "left_by_a_crash": len(found.stale_files),
     }
     show({"ok": True, **data}, as_json, data.items())
--- a/lifthinge/cluster/disk.py
+++ b/lifthinge/cluster/disk.py
@@ -25,7 +25,7 @@
 from lifthinge.raft.node import Write
 from lifthinge.raft.stored_state import StoredState
 from lifthinge.store.files import Files
-from lifthinge.store.store import Damage, Store
+from lifthinge.store.store import StoreProblem, Store
 
 VOTE, CUT, ENTRY, BEGIN = 1, 2, 3, 4  # kinds of records
 
@@ -79,7 +79,7 @@
                 self.stored_state.apply_write(write)
                 kept = [(VOTE, _encode(_Vote(self.stored_state.term, self.stored_state.voted_for)))]
                 kept += [(ENTRY, _encode(one)) for one in self.stored_state.entries]
-                self.store.save(_encode((self.identity, write.snapshot)), kept)
+                self.store.save_snapshot(_encode((self.identity, write.snapshot)), kept)
             due = due or write.snapshot is None
         if due:
             self.store.sync()
@@ -96,14 +96,14 @@
         self.stored_state.apply_write(write)
 
 
-def open_disk(files: Files) -> Disk | Damage:
+def open_disk(files: Files) -> Disk | StoreProblem:
     """A folder as the protocol needs it; damage is told, never mended by guessing."""
     store = Store.open(files)
-    if isinstance(store, Damage):
+    if isinstance(store, StoreProblem):
         return store
-    read = rebuild_state(store.snapshot, store.found)
-    store.found = []
-    if isinstance(read, Damage):
+    read = rebuild_state(store.snapshot, store.recovered_records)
+    store.recovered_records = []
+    if isinstance(read, StoreProblem):
         store.close()
         return read
     return Disk(store, *read)
@@ -111,7 +111,7 @@
 
 def rebuild_state(
     snapshot: bytes | None, records: Iterable[tuple[int, bytes]]
-) -> tuple[StoredState, FolderIdentity | None] | Damage:
+) -> tuple[StoredState, FolderIdentity | None] | StoreProblem:
     """What a snapshot and the records after it come to."""
     stored_state, cluster, place = StoredState(), None, 0
     try:
@@ -128,9 +128,9 @@
             elif kind == BEGIN:
                 cluster = _cluster.decode(data)
             else:
-                return Damage("log", place, f"record {place} is of the unknown kind {kind}")
+                return StoreProblem("log", place, f"record {place} is of the unknown kind {kind}")
     except (msgspec.ValidationError, msgspec.DecodeError, ValueError) as error:
-        return Damage("log", place, f"record {place}: {error}")
+        return StoreProblem("log", place, f"record {place}: {error}")
     if cluster is not None:
         stored_state.configuration = cluster.configuration
     return stored_state, cluster
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -616,7 +616,7 @@
             {
                 "elections": raft.elections,
                 "stepped_down": raft.stepped_down,
-                "syncs": self.committer.disk.store.syncs,
+                "syncs": self.committer.disk.store.sync_count,
                 "batches": self.committer.batches,
                 "writes": self.committer.writes,
                 "followers": len(self._followers),
--- a/lifthinge/service/member.py
+++ b/lifthinge/service/member.py
@@ -16,7 +16,7 @@
 from lifthinge.service import logs
 from lifthinge.service.run import EXIT_STARTUP_ERROR, collect_counters, make_runtime
 from lifthinge.store.files import Files
-from lifthinge.store.store import Damage
+from lifthinge.store.store import StoreProblem
 
 log = logging.getLogger(__name__)
 FAILED = 1
@@ -44,7 +44,7 @@
         raise MemberStartupError(
             f"{path}: member.folder: {part.folder}: {error.strerror or error}"
         ) from None
-    if isinstance(disk, Damage):
+    if isinstance(disk, StoreProblem):
         raise MemberStartupError(f"{path}: member.folder: {part.folder}/{disk}")
     if disk.identity is None:
         if disk.stored_state.term or disk.stored_state.entries:
--- a/lifthinge/store/records.py
+++ b/lifthinge/store/records.py
@@ -7,12 +7,12 @@
 >>> one, two = pack(3, b"abc", 0), pack(1, b"", len(pack(3, b"abc", 0)))
 >>> list(scan(one + two, 0)) == [Record(0, 3, b"abc", 0), Record(len(one), 1, b"", len(one))]
 True
->>> torn = one + two[:-1]; [record.kind for record in scan(torn, 0)], end_of(torn, 0)
+>>> torn = one + two[:-1]; [record.kind for record in scan(torn, 0)], find_end(torn, 0)
 ([3], 20)
 >>> spoilt = bytearray(one + two); spoilt[18] ^= 1
->>> end_of(spoilt, 0)
-Spoilt(at=0)
->>> end_of(bytearray(one) + bytes(40), 0)       # zeros of a tail that never came
+>>> find_end(spoilt, 0)
+CorruptRecord(at=0)
+>>> find_end(bytearray(one) + bytes(40), 0)       # zeros of a tail that never came
 20
 """
 
@@ -23,8 +23,8 @@
 import crc32c
 
 _HEAD = struct.Struct("<IIBQ")  # length, checksum, kind, durable up to
-HEAD = _HEAD.size
-RECORD_MOST = 80 << 20
+HEADER_BYTES = _HEAD.size
+MAX_RECORD_BYTES = 80 << 20
 
 
 class Record(NamedTuple):
@@ -34,7 +34,7 @@
     durable: int
 
 
-class Spoilt(NamedTuple):
+class CorruptRecord(NamedTuple):
     """A record that can't be read although it was durable once."""
 
     at: int
@@ -48,12 +48,12 @@
 
 def read(view: bytes, at: int) -> Record | None:
     """The record that begins here, None if it is not whole and sound."""
-    if at + HEAD > len(view):
+    if at + HEADER_BYTES > len(view):
         return None
     length, check, kind, durable = _HEAD.unpack_from(view, at)
-    if length > RECORD_MOST or at + HEAD + length > len(view) or durable > at:
+    if length > MAX_RECORD_BYTES or at + HEADER_BYTES + length > len(view) or durable > at:
         return None
-    data = bytes(view[at + HEAD : at + HEAD + length])
+    data = bytes(view[at + HEADER_BYTES : at + HEADER_BYTES + length])
     if crc32c.crc32c(data, crc32c.crc32c(_HEAD.pack(length, 0, kind, durable))) != check:
         return None
     return Record(at, kind, data, durable)
@@ -64,24 +64,24 @@
     record = read(view, start)
     while record is not None:
         yield record
-        record = read(view, record.at + HEAD + len(record.data))
+        record = read(view, record.at + HEADER_BYTES + len(record.data))
 
 
-def end_of(view: bytes, start: int) -> int | Spoilt:
+def find_end(view: bytes, start: int) -> int | CorruptRecord:
     """Where the sound records end: the tail after that is torn, or else what lies there is spoilt."""
     end = start
     for record in scan(view, start):
-        end = record.at + HEAD + len(record.data)
-    if end + HEAD <= len(
+        end = record.at + HEADER_BYTES + len(record.data)
+    if end + HEADER_BYTES <= len(
         view
     ):  # most often the bytes are spoilt and the length is not: look there first
-        after = read(view, end + HEAD + _HEAD.unpack_from(view, end)[0])
+        after = read(view, end + HEADER_BYTES + _HEAD.unpack_from(view, end)[0])
         if after is not None and after.durable > end:
-            return Spoilt(end)
-    for at in range(end + 1, len(view) - HEAD + 1):
+            return CorruptRecord(end)
+    for at in range(end + 1, len(view) - HEADER_BYTES + 1):
         durable = _HEAD.unpack_from(view, at)[3]
         if end < durable <= at:
             record = read(view, at)
             if record is not None and record.durable > end:
-                return Spoilt(end)
+                return CorruptRecord(end)
     return end
--- a/tests/check_store.py
+++ b/tests/check_store.py
@@ -8,8 +8,8 @@
 
 from lifthinge.lab.disks import hindered
 from lifthinge.store.files import Files
-from lifthinge.store.records import HEAD
-from lifthinge.store.store import Damage, Store, survey
+from lifthinge.store.records import HEADER_BYTES
+from lifthinge.store.store import StoreProblem, Store, inspect_folder
 
 
 class Crash(Exception):
@@ -114,7 +114,7 @@
             store.sync()
             acknowledged[:] = told
         if number in (5, 9):
-            store.save(b"%d" % (len(told) - 2), told[-2:])
+            store.save_snapshot(b"%d" % (len(told) - 2), told[-2:])
             acknowledged[:] = told
 
 
@@ -136,8 +136,8 @@
             except Crash:
                 pass
             after = files.after_crash(dice)
-            found = survey(after)
-            assert not isinstance(found, Damage), (left, found)
+            found = inspect_folder(after)
+            assert not isinstance(found, StoreProblem), (left, found)
             held = _all(found, told)
             assert held == told[: len(held)] and len(held) >= len(acknowledged), (
                 left,
@@ -147,7 +147,7 @@
             store = Store.open(after)  # and it can go on from there
             store.append(7, b"on")
             store.sync()
-            again = survey(after)
+            again = inspect_folder(after)
             assert _all(again, told) == [*held, (7, b"on")], left
     assert ends, "no life came to its end"
 
@@ -166,11 +166,11 @@
     counts = []
     for size in range(len(whole) + 1):
         files.names_now[name].data = whole[:size]
-        found = survey(files)
+        found = inspect_folder(files)
         if (
             size < 32
         ):  # the head of a segment that a snapshot names was durable before the snapshot was
-            assert isinstance(found, Damage), size
+            assert isinstance(found, StoreProblem), size
             continue
         held = _all(found, told)
         assert held == told[: len(held)], size
@@ -188,15 +188,15 @@
             spoilt = bytearray(whole)
             spoilt[at] ^= 0x40
             files.names_now[name].data = bytes(spoilt)
-            found = survey(files)
-            if isinstance(found, Damage):
+            found = inspect_folder(files)
+            if isinstance(found, StoreProblem):
                 assert found.file == name and found.offset <= at, (found, name, at)
                 refused += 1
             else:
                 held = _all(found, told)
                 assert held == told[: len(held)], (name, at)
                 last = max(name for name in files.names() if name.startswith("log"))
-                assert name == last and at >= len(whole) - 2 * (HEAD + 16), (name, at)
+                assert name == last and at >= len(whole) - 2 * (HEADER_BYTES + 16), (name, at)
         files.names_now[name].data = whole
     assert refused > 100
 
@@ -217,7 +217,7 @@
     else:
         raise AssertionError("it was opened")
     assert {name: files.read(name) for name in files.names()} == before
-    assert _all(survey(files), told) == told
+    assert _all(inspect_folder(files), told) == told
 
 
 def check_full() -> None:
@@ -233,8 +233,8 @@
     except OSError as error:
         assert error.errno == errno.ENOSPC
     store.close()
-    found = survey(Files(folder))
-    assert not isinstance(found, Damage) and len(found.records) == kept and found.torn
+    found = inspect_folder(Files(folder))
+    assert not isinstance(found, StoreProblem) and len(found.records) == kept and found.torn_bytes
     store = Store.open(Files(folder))
-    assert len(store.found) == kept
+    assert len(store.recovered_records) == kept
     store.close()
