--- a/lifthinge/cluster/disk.py
+++ b/lifthinge/cluster/disk.py
@@ -25,7 +25,7 @@
 from lifthinge.raft.node import Write
 from lifthinge.raft.stored_state import StoredState
 from lifthinge.store.files import Files
-from lifthinge.store.store import StoreProblem, Store
+from lifthinge.store.store import Store, StoreProblem
 
 VOTE, CUT, ENTRY, BEGIN = 1, 2, 3, 4  # kinds of records
 
--- a/tests/check_store.py
+++ b/tests/check_store.py
@@ -9,7 +9,7 @@
 from lifthinge.lab.disks import hindered
 from lifthinge.store.files import Files
 from lifthinge.store.records import HEADER_BYTES
-from lifthinge.store.store import StoreProblem, Store, inspect_folder
+from lifthinge.store.store import Store, StoreProblem, inspect_folder
 
 
 class Crash(Exception):
