--- a/lifthinge/capture/against.py
+++ b/lifthinge/capture/against.py
@@ -20,7 +20,7 @@
 QUIET = (LogDecision, SetTimer)  # orders that change nothing outside
 
 
-def load_text(where: str) -> type | str:
+def load_policy_class(where: str) -> type | str:
     """`Policy` of another text, a file or a revision of this repository; or why there is none."""
     path = Path(where)
     if path.is_dir():
@@ -42,47 +42,49 @@
 
 
 @dataclass
-class Parting:
+class Divergence:
     """The first turn at which the two ordered otherwise."""
 
     now: float
     events: list[Event]
-    ours: list[Order]
-    theirs: list[Order]
+    current_orders: list[Order]
+    other_orders: list[Order]
 
 
 @dataclass
-class Against:
+class PolicyComparison:
     """Both texts in step."""
 
     kind: type
-    turns: int = 0
-    parted: int = 0
-    first: Parting | None = None
-    ours: Counter = field(default_factory=Counter)  # orders by kind
-    theirs: Counter = field(default_factory=Counter)
+    turn_count: int = 0
+    divergence_count: int = 0
+    first_divergence: Divergence | None = None
+    current_orders: Counter = field(default_factory=Counter)  # orders by kind
+    other_orders: Counter = field(default_factory=Counter)
 
     def __post_init__(self) -> None:
         self._one, self._other = Replay(), Replay(self.kind)
 
-    def play(self, records: Iterable[list]) -> None:
-        """Plays on; `Unreadable` if a record makes no sense."""
+    def run(self, records: Iterable[list]) -> None:
+        """Plays on; `CaptureFormatError` if a record makes no sense."""
         for record in records:
-            self._one.play([record])
-            self._other.play([record])
+            self._one.run([record])
+            self._other.run([record])
             if record[0] != "t" or self._one.policy is None or self._other.policy is None:
                 continue
-            self.turns += 1
+            self.turn_count += 1
             ours, theirs = (
                 [order for order in played.orders if not isinstance(order, QUIET)]
                 for played in (self._one, self._other)
             )
-            self.ours.update(outer_name(type(order)) for order in ours)
-            self.theirs.update(outer_name(type(order)) for order in theirs)
-            if self._one.coder.plain(ours) != self._other.coder.plain(theirs):
-                self.parted += 1
-                self.first = self.first or Parting(record[1], self._one.events, ours, theirs)
+            self.current_orders.update(outer_name(type(order)) for order in ours)
+            self.other_orders.update(outer_name(type(order)) for order in theirs)
+            if self._one.codec.encode(ours) != self._other.codec.encode(theirs):
+                self.divergence_count += 1
+                self.first_divergence = self.first_divergence or Divergence(
+                    record[1], self._one.events, ours, theirs
+                )
 
-    def begin_life(self) -> None:
+    def reset(self) -> None:
         """Another start of the program."""
         self._one.policy = self._other.policy = None
--- a/lifthinge/capture/anonymise.py
+++ b/lifthinge/capture/anonymise.py
@@ -3,10 +3,10 @@
 What decisions say in words (`LogDecision`) holds names and is no part of a turn's digest; notes between controllers are bytes
 that nobody can look into, so they are emptied only where none is decided on (none is today).
 
->>> names = Names()
->>> names.of("s-5be2a07c"), names.of("s-1"), names.of("s-5be2a07c")
+>>> names = BackendPseudonyms()
+>>> names.pseudonym("s-5be2a07c"), names.pseudonym("s-1"), names.pseudonym("s-5be2a07c")
 ('backend-0', 'backend-1', 'backend-0')
->>> anonymised([["t", 1.0, [["b", 0, "s-5be2a07c", ["s-5be2a07c", False]]], [], [], b""]], names)
+>>> anonymise_records([["t", 1.0, [["b", 0, "s-5be2a07c", ["s-5be2a07c", False]]], [], [], b""]], names)
 [['t', 1.0, [['b', 0, 'backend-0', ['backend-0', False]]], [], [], b'']]
 """
 
@@ -20,30 +20,38 @@
 )  # after tag, number
 
 
-class Names:
+class BackendPseudonyms:
     """One name for each that is met."""
 
     def __init__(self) -> None:
         self._by_name: dict[Any, str] = {}
 
-    def of(self, name: Any) -> str:
+    def pseudonym(self, name: Any) -> str:
         return self._by_name.setdefault(name, f"backend-{len(self._by_name)}")
 
 
-def _definition(one: list, names: Names) -> list:
+def _definition(one: list, names: BackendPseudonyms) -> list:
     tag, number, key, given = one
     if tag != "b":
         return one
-    return [tag, number, names.of(key), [names.of(given[0]), *given[1:]] if given else given]
+    return [
+        tag,
+        number,
+        names.pseudonym(key),
+        [names.pseudonym(given[0]), *given[1:]] if given else given,
+    ]
 
 
-def _kept(one: list, names: Names) -> list:
+def _kept(one: list, names: BackendPseudonyms) -> list:
     if one[0] != "b":
         return one
-    return [names.of(value) if place in (_EP, _NAME) else value for place, value in enumerate(one)]
+    return [
+        names.pseudonym(value) if place in (_EP, _NAME) else value
+        for place, value in enumerate(one)
+    ]
 
 
-def anonymised(records: list[list], names: Names) -> list[list]:
+def anonymise_records(records: list[list], names: BackendPseudonyms) -> list[list]:
     """The same records with other names."""
     found = []
     for record in records:
--- a/lifthinge/capture/capture.py
+++ b/lifthinge/capture/capture.py
@@ -15,10 +15,10 @@
 from lifthinge.policy import Policy
 
 log = logging.getLogger(__name__)
-WAITING_MOST = 2_000  # records not yet written; what comes beyond is left out, with a mark
+MAX_WAITING_RECORDS = 2_000  # records not yet written; what comes beyond is left out, with a mark
 
 
-class Capture:
+class CapturingPolicy:
     """Takes the place of a `Policy` before the controller; what it can't write in time is left out and marked."""
 
     def __init__(self, policy: Policy, writer: SegmentWriter, counters: Counters) -> None:
@@ -27,17 +27,17 @@
         self._waiting = 0  # records given to the thread, less those that it has written
         self._written: deque[int] = deque()
         self._left_out: float | None = None  # since when
-        self.failed = ""
+        self.failure = ""
         self._thread = Thread(target=self._run, name="capture", daemon=True)
         self._thread.start()
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
         """Decides, and puts it on record."""
-        if self.failed:
+        if self.failure:
             return self.recorder.policy.decide(now, events)
         while self._written:
             self._waiting -= self._written.popleft()
-        if self._waiting >= WAITING_MOST:
+        if self._waiting >= MAX_WAITING_RECORDS:
             self._left_out = now if self._left_out is None else self._left_out
             self.counters.add("capture.left_out")
             return self.recorder.policy.decide(now, events)
@@ -49,7 +49,7 @@
         elif self.writer.wants_keyframe:
             self.recorder.keyframe()
         orders = self.recorder.decide(now, events)
-        records += self.recorder.take()
+        records += self.recorder.take_records()
         self._waiting += len(records)
         self._due.put(records)
         self.counters.add("capture.turns")
@@ -60,8 +60,8 @@
             try:
                 self.writer.write(records)
             except OSError as error:
-                self.failed = error.strerror or str(error)
-                log.error("capture_failed", {"why": self.failed})
+                self.failure = error.strerror or str(error)
+                log.error("capture_failed", {"why": self.failure})
                 return
             self._written.append(len(records))
 
@@ -79,8 +79,8 @@
     segment_mb: float,
     head: dict[str, Any],
     counters: Counters,
-) -> Capture:
+) -> CapturingPolicy:
     writer = SegmentWriter(
         Path(folder), head, int(budget_mb * (1 << 20)), int(segment_mb * (1 << 20))
     )
-    return Capture(policy, writer, counters)
+    return CapturingPolicy(policy, writer, counters)
--- a/lifthinge/capture/segments.py
+++ b/lifthinge/capture/segments.py
@@ -8,12 +8,12 @@
 >>> writer = SegmentWriter(folder, {"name": "n0"}, budget=1 << 20, segment=60)
 >>> _ = writer.write([["k", 1, [], [1, {}, []]], ["t", 1.0, [], [], [], b""]])
 >>> _ = writer.write([["t", 2.0, [], [], [], b""], ["k", 1, [], [1, {}, []]], ["t", 3.0, [], [], [], b""]])
->>> writer.close(); [one.first for one in segments(folder)], [[r[0] for r in read_segment(one.path)[1]] for one in segments(folder)]
+>>> writer.close(); [one.first_ms for one in list_segments(folder)], [[r[0] for r in read_segment(one.path)[1]] for one in list_segments(folder)]
 ([1.0, 3.0], [['k', 't', 't'], ['k', 't']])
->>> path = segments(folder)[1].path; _ = path.write_bytes(path.read_bytes()[:-1]); read_segment(path)[1]
+>>> path = list_segments(folder)[1].path; _ = path.write_bytes(path.read_bytes()[:-1]); read_segment(path)[1]
 []
 >>> _ = path.write_bytes(b"nothing"); read_segment(path)
-NoCapture(path='cap-00000002', why='no head of a capture')
+UnreadableSegment(path='cap-00000002', why='no head of a capture')
 """
 
 import os
@@ -26,15 +26,15 @@
 
 from lifthinge.store import records
 
-FORM = 1
-HEAD, BLOCK = 1, 2
-BLOCK_RECORDS = 256  # records in a block at most
-BLOCK_MOST = 64 << 20  # bytes of a block unpacked: no file makes a reader take more
-LEVEL = 1  # of compression: what is recorded is alike all along
+FORMAT_VERSION = 1
+HEADER_KIND, BLOCK_KIND = 1, 2
+MAX_BLOCK_RECORDS = 256  # records in a block at most
+MAX_BLOCK_BYTES = 64 << 20  # bytes of a block unpacked: no file makes a reader take more
+COMPRESSION_LEVEL = 1  # of compression: what is recorded is alike all along
 
 
 @dataclass(frozen=True, slots=True)
-class NoCapture:
+class UnreadableSegment:
     """Why a file can't be read as a segment."""
 
     path: str
@@ -46,10 +46,10 @@
     """A segment as found in a folder; times are those of its first and last turn."""
 
     path: Path
-    first: float
-    last: float
-    turns: int
-    head: dict[str, Any]
+    first_ms: float
+    last_ms: float
+    turn_count: int
+    header: dict[str, Any]
 
 
 class SegmentWriter:
@@ -59,7 +59,7 @@
     """
 
     def __init__(self, folder: Path, head: dict[str, Any], budget: int, segment: int) -> None:
-        self.folder, self.head, self.budget, self.segment = folder, head, budget, segment
+        self.folder, self.header, self.budget, self.segment = folder, head, budget, segment
         folder.mkdir(parents=True, exist_ok=True, mode=0o700)
         self._number = max((int(one.name[4:]) for one in _paths(folder)), default=0)
         self._file, self._size = -1, 0
@@ -78,7 +78,7 @@
                 self._begin()
                 before = 0
             part.append(record)
-            if len(part) >= BLOCK_RECORDS:
+            if len(part) >= MAX_BLOCK_RECORDS:
                 self._block(part)
                 part = []
         self._block(part)
@@ -86,7 +86,9 @@
 
     def _block(self, part: list[list]) -> None:
         if part and self._file >= 0:
-            packed = records.pack(BLOCK, zlib.compress(msgspec.msgpack.encode(part), LEVEL), 0)
+            packed = records.pack(
+                BLOCK_KIND, zlib.compress(msgspec.msgpack.encode(part), COMPRESSION_LEVEL), 0
+            )
             os.write(self._file, packed)
             self._size += len(packed)
 
@@ -96,7 +98,9 @@
         self._file = os.open(
             self.folder / f"cap-{self._number:08d}", os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600
         )
-        packed = records.pack(HEAD, msgspec.msgpack.encode({"form": FORM, **self.head}), 0)
+        packed = records.pack(
+            HEADER_KIND, msgspec.msgpack.encode({"form": FORMAT_VERSION, **self.header}), 0
+        )
         os.write(self._file, packed)
         self._size = len(packed)
         self._thin()
@@ -121,18 +125,20 @@
     return sorted(one for one in folder.glob("cap-*") if one.name[4:].isdigit())
 
 
-def read_segment(path: Path) -> tuple[dict[str, Any], list[list]] | NoCapture:
+def read_segment(path: Path) -> tuple[dict[str, Any], list[list]] | UnreadableSegment:
     """Head and records of a segment, as far as they are whole."""
     try:
         found = list(records.scan(path.read_bytes(), 0))
     except OSError as error:
-        return NoCapture(path.name, error.strerror or str(error))
-    if not found or found[0].kind != HEAD:
-        return NoCapture(path.name, "no head of a capture")
+        return UnreadableSegment(path.name, error.strerror or str(error))
+    if not found or found[0].kind != HEADER_KIND:
+        return UnreadableSegment(path.name, "no head of a capture")
     try:
         head = msgspec.msgpack.decode(found[0].data)
-        if head.get("form") != FORM:
-            return NoCapture(path.name, f"a capture of form {head.get('form')}, not {FORM}")
+        if head.get("form") != FORMAT_VERSION:
+            return UnreadableSegment(
+                path.name, f"a capture of form {head.get('form')}, not {FORMAT_VERSION}"
+            )
         turns = [record for one in found[1:] for record in _unpacked(one.data)]
     except (
         msgspec.DecodeError,
@@ -141,25 +147,25 @@
         AttributeError,
         RecursionError,
     ) as error:
-        return NoCapture(path.name, str(error))
+        return UnreadableSegment(path.name, str(error))
     return head, turns
 
 
 def _unpacked(data: bytes) -> list[list]:
     """The records of a block, if it is of a sane size."""
     packed = zlib.decompressobj()
-    plain = packed.decompress(data, BLOCK_MOST)
+    plain = packed.decompress(data, MAX_BLOCK_BYTES)
     if packed.unconsumed_tail or not packed.eof:
         raise zlib.error("a block that is cut, or unpacks to too much")
     return msgspec.msgpack.decode(plain, type=list[list])
 
 
-def segments(folder: Path) -> list[Segment | NoCapture]:
+def list_segments(folder: Path) -> list[Segment | UnreadableSegment]:
     """What a folder holds, oldest first."""
-    found: list[Segment | NoCapture] = []
+    found: list[Segment | UnreadableSegment] = []
     for path in _paths(folder):
         read = read_segment(path)
-        if isinstance(read, NoCapture):
+        if isinstance(read, UnreadableSegment):
             found.append(read)
             continue
         head, turns = read
--- a/lifthinge/capture/turns.py
+++ b/lifthinge/capture/turns.py
@@ -16,17 +16,17 @@
 import msgspec
 from blake3 import blake3
 
-from lifthinge.capture.codec import Coder, Unreadable
+from lifthinge.capture.codec import CaptureFormatError, ValueCodec
 from lifthinge.interface import Event, LogDecision, Order, ProxyJoined
 from lifthinge.policy import Policy
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def digest_of(coder: Coder, orders: list[Order]) -> bytes:
+def digest_of(coder: ValueCodec, orders: list[Order]) -> bytes:
     """What tells one list of orders from another; what is said beside them explains, and names names."""
     return blake3(
-        _encode([coder.plain(order) for order in orders if type(order) is not LogDecision])
+        _encode([coder.encode(order) for order in orders if type(order) is not LogDecision])
     ).digest(length=16)
 
 
@@ -34,40 +34,40 @@
     """Stands before a `Policy` and puts on record what passes; `take` gives the records since the last call."""
 
     def __init__(self, policy: Policy) -> None:
-        self.policy, self.coder = policy, Coder()
+        self.policy, self.codec = policy, ValueCodec()
         self._records: list[list] = []
         self.keyframe()
 
     def keyframe(self) -> None:
         """From here on a replay may begin, whatever becomes of what came before."""
-        state = self.coder.export(self.policy)
-        self._records.append(["k", self.coder.plain(self.policy.settings), self._all(), state])
+        state = self.codec.export_state(self.policy)
+        self._records.append(["k", self.codec.encode(self.policy.settings), self._all(), state])
 
     def _all(self) -> list:
-        list(self.coder.defined())
-        return self.coder.definitions()
+        list(self.codec.take_definitions())
+        return self.codec.all_definitions()
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
         events = list(events)
-        told = [self.coder.plain(event) for event in events]
+        told = [self.codec.encode(event) for event in events]
         joined = [event.proxy for event in events if type(event) is ProxyJoined]
-        given = [[*self.coder.plain(one), one.zone, one.size, one.is_bound] for one in joined]
-        record = ["t", now, [list(one) for one in self.coder.defined()], given, told]
+        given = [[*self.codec.encode(one), one.zone, one.size, one.is_bound] for one in joined]
+        record = ["t", now, [list(one) for one in self.codec.take_definitions()], given, told]
         orders = self.policy.decide(now, events)
-        record.append(digest_of(self.coder, orders))
+        record.append(digest_of(self.codec, orders))
         self._records.append(record)
         return orders
 
-    def take(self) -> list[list]:
+    def take_records(self) -> list[list]:
         records, self._records = self._records, []
         return records
 
 
 @dataclass(frozen=True)
-class Parted:
+class ReplayMismatch:
     """The first turn at which a replay ordered otherwise."""
 
-    place: int  # record
+    record_index: int  # record
     now: float
     events: list[Event]
     orders: list[Order]  # of the replay
@@ -78,15 +78,15 @@
 
     def __init__(self, kind: type = Policy) -> None:
         self.kind = kind  # another text of the decisions orders otherwise: nothing is compared then
-        self.coder: Coder | None = None
+        self.codec: ValueCodec | None = None
         self.policy: Policy | None = None
         self.events: list[Event] = []  # of the last turn, and what was ordered
         self.orders: list[Order] = []
-        self.turns = self.skipped = 0
+        self.turn_count = self.skipped_turn_count = 0
         self.digest = blake3()  # of all orders: ten replays give one
 
-    def play(self, records: Iterable[list]) -> Parted | None:
-        """None if all came out as recorded, else where it parted; `Unreadable` if a record makes no sense."""
+    def run(self, records: Iterable[list]) -> ReplayMismatch | None:
+        """None if all came out as recorded, else where it parted; `CaptureFormatError` if a record makes no sense."""
         for place, record in enumerate(records):
             kind = record[0] if record else None
             if kind == "k":
@@ -95,12 +95,12 @@
             elif kind == "x":
                 self.policy = None
             elif kind != "t":
-                raise Unreadable(f"record {place} is of no kind known here")
+                raise CaptureFormatError(f"record {place} is of no kind known here")
             elif self.policy is None:
-                self.skipped += 1
+                self.skipped_turn_count += 1
             else:
                 told = self._guard(place, lambda: self._told(*record[1:]))
-                parted = self._turn(place, *told)
+                parted = self._replay_turn(place, *told)
                 if parted:
                     return parted
         return None
@@ -119,32 +119,34 @@
             OverflowError,
             RecursionError,
         ) as error:
-            raise Unreadable(f"record {place}: {type(error).__name__}: {error}") from None
+            raise CaptureFormatError(f"record {place}: {type(error).__name__}: {error}") from None
 
     def _begin(self, terms: Any, definitions: list, state: list) -> None:
-        self.coder = Coder()
+        self.codec = ValueCodec()
         for one in definitions:
-            self.coder.define(*one)
-        self.policy = self.coder.restore(self.coder.object(terms), state, self.kind)
+            self.codec.define(*one)
+        self.policy = self.codec.restore_policy(self.codec.decode(terms), state, self.kind)
 
     def _told(
         self, now: float, definitions: list, given: list, told: list, digest: bytes
     ) -> tuple[float, list[Event], bytes]:
         for one in definitions:
-            self.coder.define(*one)
+            self.codec.define(*one)
         for tag, number, zone, size, bound in given:
-            proxy = self.coder.object([tag, number])
+            proxy = self.codec.decode([tag, number])
             proxy.zone, proxy.size, proxy.is_bound = zone, size, bound
-        return now + 0.0, [self.coder.object(one) for one in told], digest
+        return now + 0.0, [self.codec.decode(one) for one in told], digest
 
-    def _turn(self, place: int, now: float, events: list[Event], digest: bytes) -> Parted | None:
+    def _replay_turn(
+        self, place: int, now: float, events: list[Event], digest: bytes
+    ) -> ReplayMismatch | None:
         orders = self.policy.decide(now, events)
         self.events, self.orders = events, orders
-        found = digest_of(self.coder, orders)
+        found = digest_of(self.codec, orders)
         self.digest.update(found)
         if found != digest and self.kind is Policy:
-            return Parted(place, now, events, orders)
-        self.turns += 1
+            return ReplayMismatch(place, now, events, orders)
+        self.turn_count += 1
         return None
 
 
@@ -155,4 +157,11 @@
             yield records[place:]
 
 
-__all__ = ["Parted", "Recorder", "Replay", "Unreadable", "digest_of", "from_keyframes"]
+__all__ = [
+    "CaptureFormatError",
+    "Recorder",
+    "Replay",
+    "ReplayMismatch",
+    "digest_of",
+    "from_keyframes",
+]
--- a/lifthinge/cli/replay.py
+++ b/lifthinge/cli/replay.py
@@ -17,16 +17,16 @@
 @as_json
 def replay(path: str, until: float | None, against: str | None, as_json: bool) -> None:
     """Decides again on what a capture holds and compares every turn; exit 1 if one came out otherwise."""
-    from lifthinge.capture.codec import Unreadable
-    from lifthinge.capture.segments import NoCapture, read_segment, segments
+    from lifthinge.capture.codec import CaptureFormatError
+    from lifthinge.capture.formatting import format_value
+    from lifthinge.capture.segments import UnreadableSegment, list_segments, read_segment
     from lifthinge.capture.turns import Replay
-    from lifthinge.capture.words import words
 
     where = Path(path)
     paths = (
         [
-            one.path if not isinstance(one, NoCapture) else stop(f"{one.path}: {one.why}")
-            for one in segments(where)
+            one.path if not isinstance(one, UnreadableSegment) else stop(f"{one.path}: {one.why}")
+            for one in list_segments(where)
         ]
         if where.is_dir()
         else [where]
@@ -37,31 +37,31 @@
     other = _against(against) if against else None
     for one in paths:
         read = read_segment(one)
-        if isinstance(read, NoCapture):
+        if isinstance(read, UnreadableSegment):
             stop(f"{read.path}: {read.why}")
         head, records = read
         if head.get("life") != life:  # another start of the program: other numbers, another state
             played.policy, life = None, head.get("life")
             if other:
-                other.begin_life()
+                other.reset()
         if until is not None:
             records = [record for record in records if record[0] != "t" or record[1] <= until]
         try:
-            parted = played.play(records)
+            parted = played.run(records)
             if other and not parted:
-                other.play(records)
-        except Unreadable as error:
+                other.run(records)
+        except CaptureFormatError as error:
             stop(f"{one.name}: {error}")
         if parted:
             lines = [
-                f"parted at {parted.now:.1f} ms, {one.name}, record {parted.place}",
+                f"parted at {parted.now:.1f} ms, {one.name}, record {parted.record_index}",
                 "told:",
-                *(f"  {words(event)}" for event in parted.events),
+                *(f"  {format_value(event)}" for event in parted.events),
                 "ordered now:",
-                *(f"  {words(order)}" for order in parted.orders),
+                *(f"  {format_value(order)}" for order in parted.orders),
             ]
             show(
-                {"ok": False, "at": parted.now, "segment": one.name, "turns": played.turns},
+                {"ok": False, "at": parted.now, "segment": one.name, "turns": played.turn_count},
                 as_json,
                 [(line,) for line in lines],
             )
@@ -72,53 +72,56 @@
     show(
         {
             "ok": True,
-            "turns": played.turns,
-            "skipped": played.skipped,
+            "turns": played.turn_count,
+            "skipped": played.skipped_turn_count,
             "digest": played.digest.hexdigest()[:32],
         },
         as_json,
         [
-            ("turns alike", played.turns),
-            ("skipped", played.skipped),
+            ("turns alike", played.turn_count),
+            ("skipped", played.skipped_turn_count),
             ("digest", played.digest.hexdigest()[:32]),
         ],
     )
 
 
 def _against(where: str):
-    from lifthinge.capture.against import Against, load_text
+    from lifthinge.capture.against import PolicyComparison, load_policy_class
 
-    kind = load_text(where)
-    return Against(kind) if isinstance(kind, type) else stop(kind)
+    kind = load_policy_class(where)
+    return PolicyComparison(kind) if isinstance(kind, type) else stop(kind)
 
 
 def _show_against(other, as_json: bool) -> None:
-    from lifthinge.capture.words import words
+    from lifthinge.capture.formatting import format_value
 
-    kinds = sorted({*other.ours, *other.theirs})
+    kinds = sorted({*other.current_orders, *other.other_orders})
     data = {
-        "turns": other.turns,
-        "parted": other.parted,
-        "at": other.first.now if other.first else None,
-        "orders": {kind: [other.ours[kind], other.theirs[kind]] for kind in kinds},
+        "turns": other.turn_count,
+        "parted": other.divergence_count,
+        "at": other.first_divergence.now if other.first_divergence else None,
+        "orders": {kind: [other.current_orders[kind], other.other_orders[kind]] for kind in kinds},
     }
     rows = [
         ("orders", "this text", "the other"),
-        *((kind, other.ours[kind], other.theirs[kind]) for kind in kinds),
+        *((kind, other.current_orders[kind], other.other_orders[kind]) for kind in kinds),
     ]
-    if other.first:
+    if other.first_divergence:
         rows += [
             ("",),
             (
-                f"{other.parted} of {other.turns} turns parted; first at {other.first.now:.1f} ms, told:",
+                f"{other.divergence_count} of {other.turn_count} turns parted; first at {other.first_divergence.now:.1f} ms, told:",
             ),
-            *((f"  {words(event)}",) for event in other.first.events[:20]),
+            *((f"  {format_value(event)}",) for event in other.first_divergence.events[:20]),
             ("this text:",),
-            *((f"  {words(order)}",) for order in other.first.ours[:20]),
+            *(
+                (f"  {format_value(order)}",)
+                for order in other.first_divergence.current_orders[:20]
+            ),
             ("the other:",),
-            *((f"  {words(order)}",) for order in other.first.theirs[:20]),
+            *((f"  {format_value(order)}",) for order in other.first_divergence.other_orders[:20]),
             ("From there on the world would have answered the other text otherwise.",),
         ]
     else:
-        rows.append((f"{other.turns} turns alike",))
+        rows.append((f"{other.turn_count} turns alike",))
     show({"ok": True, **data}, as_json, [("  ".join(map(str, row)),) for row in rows])
--- a/lifthinge/lab/capturebench.py
+++ b/lifthinge/lab/capturebench.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from lifthinge.capture.capture import Capture
-from lifthinge.capture.codec import Coder
-from lifthinge.capture.segments import SegmentWriter, read_segment, segments
+from lifthinge.capture.capture import CapturingPolicy
+from lifthinge.capture.codec import ValueCodec
+from lifthinge.capture.segments import SegmentWriter, list_segments, read_segment
 from lifthinge.capture.turns import Replay
 from lifthinge.interface import (
     AttemptReport,
@@ -112,7 +112,7 @@
     decider = (
         policy
         if folder is None
-        else Capture(policy, SegmentWriter(folder, {"life": 1}, 1 << 34, 4 << 20), counters)
+        else CapturingPolicy(policy, SegmentWriter(folder, {"life": 1}, 1 << 34, 4 << 20), counters)
     )
     waits, told, now, events = [], 0, 0.0, load.start()
     gc.collect()
@@ -142,7 +142,7 @@
 
 def plain_json(records: list[list]) -> int:
     """Bytes of the same events as plain JSON, with ids written out."""
-    coder, size = Coder(), 0
+    coder, size = ValueCodec(), 0
     for record in records:
         if record[0] == "k":
             for one in record[2]:
@@ -152,7 +152,7 @@
             for one in record[2]:
                 coder.define(*one)
             for told in record[4]:
-                event = coder.object(told)
+                event = coder.decode(told)
                 size += len(
                     json.dumps(
                         {
@@ -182,10 +182,12 @@
                 off.append(_play(backends, min(5 * backends, 150), turns, None))
                 on.append(_play(backends, min(5 * backends, 150), turns, Path(name) / str(number)))
             folder = Path(name) / "0"
-            size = sum(one.path.stat().st_size for one in segments(folder))
-            records = [record for one in segments(folder) for record in read_segment(one.path)[1]]
+            size = sum(one.path.stat().st_size for one in list_segments(folder))
+            records = [
+                record for one in list_segments(folder) for record in read_segment(one.path)[1]
+            ]
             began, replay = time.perf_counter(), Replay()
-            parted = replay.play(records)
+            parted = replay.run(records)
             took = time.perf_counter() - began
             keyframes = [
                 len(msgspec.msgpack.encode(record)) for record in records if record[0] == "k"
@@ -206,7 +208,7 @@
             "part_of_json": round(size / plain_json(records), 3),
             "keyframe_bytes": round(statistics.mean(keyframes)),
             "replayed_alike": parted is None,
-            "turns": replay.turns,
+            "turns": replay.turn_count,
             "times_real": round(on[0]["day_s"] / took, 1),
         }
     return result
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -19,7 +19,7 @@
     "capture.anonymise",
     "capture.codec",
     "capture.segments",
-    "capture.words",
+    "capture.formatting",
     "channel",
     "cluster.disk",
     "cluster.keys",
--- a/tests/check_capture.py
+++ b/tests/check_capture.py
@@ -10,11 +10,18 @@
 import msgspec
 
 from lifthinge import policy as policy_module
-from lifthinge.capture.against import Against, load_text
-from lifthinge.capture.anonymise import Names, anonymised
-from lifthinge.capture.capture import Capture
-from lifthinge.capture.codec import NAMED, Unreadable
-from lifthinge.capture.segments import BLOCK, HEAD, NoCapture, SegmentWriter, read_segment, segments
+from lifthinge.capture.against import PolicyComparison, load_policy_class
+from lifthinge.capture.anonymise import BackendPseudonyms, anonymise_records
+from lifthinge.capture.capture import CapturingPolicy
+from lifthinge.capture.codec import NUMBERED_TYPES, CaptureFormatError
+from lifthinge.capture.segments import (
+    BLOCK_KIND,
+    HEADER_KIND,
+    SegmentWriter,
+    UnreadableSegment,
+    list_segments,
+    read_segment,
+)
 from lifthinge.capture.turns import Recorder, Replay, from_keyframes
 from lifthinge.memory.counters import Counters
 from lifthinge.outer_names import ENUMS, HOLDERS, KINDS, STATE, outer_name
@@ -43,7 +50,7 @@
 class _Behind(Recorder):
     def __init__(self, policy: Policy, owner: Recorded) -> None:
         super().__init__(policy)
-        self.turns = 0
+        self.turn_count = 0
         self.records = []
         owner.records.append(self.records)
 
@@ -51,12 +58,14 @@
         return getattr(self.__dict__["policy"], name)
 
     def decide(self, now: float, events) -> list:
-        self.turns += 1
-        if self.turns % EVERY == 0:
+        self.turn_count += 1
+        if self.turn_count % EVERY == 0:
             self.keyframe()
         orders = super().decide(now, events)
         # What lies on disk is bytes: only what survives that counts.
-        self.records += [msgspec.msgpack.decode(msgspec.msgpack.encode(one)) for one in self.take()]
+        self.records += [
+            msgspec.msgpack.decode(msgspec.msgpack.encode(one)) for one in self.take_records()
+        ]
         return orders
 
 
@@ -69,9 +78,9 @@
         for records in played.records:
             for part in list(from_keyframes(records))[::5]:
                 replay = Replay()
-                parted = replay.play(part)
+                parted = replay.run(part)
                 assert parted is None, f"{path.name} at {parted.now}: {parted.orders}"
-                turns += replay.turns
+                turns += replay.turn_count
     assert turns > 10_000, turns
 
 
@@ -83,7 +92,7 @@
 
     mark, policy.VIOLATOR_MARK = policy.VIOLATOR_MARK, 50.0
     try:
-        parted = Replay().play(played.records[0])
+        parted = Replay().run(played.records[0])
     finally:
         policy.VIOLATOR_MARK = mark
     assert parted is not None and parted.now > 5_000.0, parted
@@ -97,7 +106,7 @@
     class Captured(stage.Stage):
         def tell(self, *events: object) -> None:
             if self.policy is None:
-                self.policy = Capture(Policy(self.terms, 7), writer, counters)
+                self.policy = CapturingPolicy(Policy(self.terms, 7), writer, counters)
                 self.policy._due.put(
                     None
                 )  # in step here: which turn begins a segment must not hang on threads
@@ -115,20 +124,21 @@
     for moment in range(int(played.now) + 400, int(played.now) + 40_000, 400):
         played.play_to(float(moment))
     played.policy.close()
-    found = segments(folder)
+    found = list_segments(folder)
     assert len(found) > 3 and found[0].path.name != "cap-00000001", [one.path.name for one in found]
     replay = Replay()
     assert (
-        all(replay.play(read_segment(one.path)[1]) is None for one in found) and replay.turns > 10
-    ), replay.turns
+        all(replay.run(read_segment(one.path)[1]) is None for one in found)
+        and replay.turn_count > 10
+    ), replay.turn_count
     whole = found[0].path.read_bytes()
     turns = []
     for size in range(0, len(whole), 97):
         found[0].path.write_bytes(whole[:size])
         read, part = read_segment(found[0].path), Replay()
         if isinstance(read, tuple):
-            assert part.play(read[1]) is None
-            turns.append(part.turns)
+            assert part.run(read[1]) is None
+            turns.append(part.turn_count)
     assert turns == sorted(turns) and turns[-1] > turns[0]
 
 
@@ -151,10 +161,10 @@
         def close(self) -> None:
             pass
 
-    most, module.WAITING_MOST = module.WAITING_MOST, 20
+    most, module.MAX_WAITING_RECORDS = module.MAX_WAITING_RECORDS, 20
     counters = Counters()
     try:
-        captured = Capture(Policy(stage.TERMS, 7), Slow(), counters)
+        captured = CapturingPolicy(Policy(stage.TERMS, 7), Slow(), counters)
         for turn in range(60):
             captured.decide(turn * 500.0, [])
             if turn == 40:
@@ -162,12 +172,14 @@
                 assert caught_up.wait(20)
         captured.close()
     finally:
-        module.WAITING_MOST = most
+        module.MAX_WAITING_RECORDS = most
     marks = [one for one in written if one[0] == "x"]
     assert len(marks) == 1 and marks[0][1] < marks[0][2] <= 20_500.0, marks
     replay = Replay()
     assert (
-        replay.play(written) is None and replay.turns > 25 and counters.get("capture.left_out") > 10
+        replay.run(written) is None
+        and replay.turn_count > 25
+        and counters.get("capture.left_out") > 10
     )
 
 
@@ -182,10 +194,13 @@
             text = text.replace("VIOLATOR_MARK, VIOLATOR_REPORTS = 1.5", change)
         other = Path(tempfile.mkdtemp()) / "policy.py"
         other.write_text(text)
-        against = Against(load_text(str(other)))
-        against.play(played.records[0])
-        assert bool(against.parted) == parted and against.turns > 20, against
-    assert against.ours["SetLine"] > against.theirs["SetLine"], (against.ours, against.theirs)
+        against = PolicyComparison(load_policy_class(str(other)))
+        against.run(played.records[0])
+        assert bool(against.divergence_count) == parted and against.turn_count > 20, against
+    assert against.current_orders["SetLine"] > against.other_orders["SetLine"], (
+        against.current_orders,
+        against.other_orders,
+    )
 
 
 def check_anonymised_replays() -> None:
@@ -197,10 +212,10 @@
             .read_text()
             .replace("fleet a b c", "fleet a b c hidden")
         )
-        records = anonymised(played.records[0], Names())
+        records = anonymise_records(played.records[0], BackendPseudonyms())
         assert "hidden" in str(played.records[0]) and "hidden" not in str(records)
         replay = Replay()
-        assert replay.play(records) is None and replay.turns > 5
+        assert replay.run(records) is None and replay.turn_count > 5
 
 
 def check_hostile_files() -> None:
@@ -208,15 +223,15 @@
     folder, dice = Path(tempfile.mkdtemp()), Random(3)
     played = Recorded()
     played.run((HERE / "scenarios" / "violator.txt").read_text())
-    head = pack(HEAD, msgspec.msgpack.encode({"form": 1}), 0)
+    head = pack(HEADER_KIND, msgspec.msgpack.encode({"form": 1}), 0)
 
     def read(*blocks: bytes) -> object:
         path = folder / "cap-00000001"
-        path.write_bytes(head + b"".join(pack(BLOCK, one, 0) for one in blocks))
+        path.write_bytes(head + b"".join(pack(BLOCK_KIND, one, 0) for one in blocks))
         return read_segment(path)
 
     good = zlib.compress(msgspec.msgpack.encode(played.records[0]))
-    assert Replay().play(read(good)[1]) is None
+    assert Replay().run(read(good)[1]) is None
     deep = b"\x91" * 100_000 + b"\xc0"
     for block in (
         zlib.compress(bytes(200 << 20), 9),
@@ -225,7 +240,7 @@
         b"no",
         zlib.compress(b"\xc1"),
     ):
-        assert isinstance(read(block), NoCapture)
+        assert isinstance(read(block), UnreadableSegment)
     for part in (
         [["t"]],
         [[]],
@@ -234,13 +249,13 @@
         [["k", 1, [["b", 0, "a", [1, 2, 3]]], []]],
     ):
         try:
-            Replay().play(read(zlib.compress(msgspec.msgpack.encode(part)))[1])
-        except Unreadable:
+            Replay().run(read(zlib.compress(msgspec.msgpack.encode(part)))[1])
+        except CaptureFormatError:
             continue
         assert part == [["t"]], part  # before any keyframe: passed over
 
     class Reads(Replay):
-        def _turn(self, place: int, now: float, events: list, digest: bytes) -> None:
+        def _replay_turn(self, place: int, now: float, events: list, digest: bytes) -> None:
             """What is read is all that is tried here."""
 
     refused = unharmed = 0
@@ -254,9 +269,9 @@
             [None, -1, "b", [], ["b", 99], 1e300, ["d", 1]]
         )
         try:
-            Reads().play(records)
+            Reads().run(records)
             unharmed += 1
-        except Unreadable:
+        except CaptureFormatError:
             refused += 1
     assert refused > 50 and unharmed > 10, (refused, unharmed)
 
@@ -321,7 +336,7 @@
         name: " ".join(str(member.value) for member in kind) for name, kind in ENUMS.items()
     } == OUTER_ENUMS
     assert {name: len(slots) for name, (_, slots) in HOLDERS.items()} == OUTER_HOLDERS
-    assert {tag: len(fields(kind)) for tag, (kind, _, _) in NAMED.items()} == OUTER_OBJECTS
+    assert {tag: len(fields(kind)) for tag, (kind, _, _) in NUMBERED_TYPES.items()} == OUTER_OBJECTS
     assert " ".join(STATE) == OUTER_STATE
     for name, kind in KINDS.items():
         assert outer_name(kind.type) == name
