--- a/lifthinge/store/__init__.py
+++ b/lifthinge/store/__init__.py
@@ -1,1 +1,1 @@
-"""Files that survive crashes: a log of records and the snapshot before it; it knows nothing of what they mean."""
+"""Crash-safe storage: a log of opaque records and the snapshot that precedes it."""
--- a/lifthinge/store/store.py
+++ b/lifthinge/store/store.py
@@ -1,14 +1,17 @@
-"""A durable log of records in segments, and the snapshot before it.
+"""A durable log of records in segments, and the snapshot that precedes it.
 
-What `sync` returned from is there after any crash. A snapshot is a file of its own: written under another name,
-synced, renamed, and the folder synced; it names the segment that follows it, whose first records are those that the
-snapshot does not hold. Only then is what it stands for removed. A torn tail is cut when the store is opened; damage
-before it is refused, with file and offset. The store is used by one thread at a time and by one process.
+All records appended before `sync` returned survive any crash. A snapshot is a file of its own:
+written under a temporary name, synced, renamed, and the folder synced. It names the segment that
+follows it, whose first records are those that the snapshot does not contain. Only then are the
+segments that it replaces removed. Opening the store cuts off a torn tail; corruption before the
+tail is refused and reported with file and offset. A store is used by one thread at a time and by
+one process.
 
 >>> import tempfile
 >>> from pathlib import Path
 >>> files = Files(Path(tempfile.mkdtemp()) / "s")
->>> store = Store.open(files); store.append(1, b"a"); store.append(2, b"b"); store.sync(); store.close()
+>>> store = Store.open(files)
+>>> store.append(1, b"a"); store.append(2, b"b"); store.sync(); store.close()
 >>> store = Store.open(files); store.recovered_records, store.snapshot
 ([(1, b'a'), (2, b'b')], None)
 >>> store.save_snapshot(b"both", [(2, b"b")]); store.append(2, b"c"); store.sync(); store.close()
@@ -30,19 +33,27 @@
 from lifthinge.store.files import Files
 from lifthinge.store.records import CorruptRecord
 
-SEGMENT_ROLLOVER_BYTES = 32 << 20  # bytes, then another segment begins
-MAX_BUFFER_BYTES = 1 << 20  # bytes gathered before they are handed to the system
-_SEGMENT = struct.Struct("<8sIQQI")  # magic, format, number, length of the one before, checksum
-_SNAPSHOT = struct.Struct("<8sIQQI")  # magic, format, first segment after it, length, checksum
-_MAGIC, _SNAPSHOT_MAGIC, _FORMAT = b"lifthlog", b"lifthsnp", 1
-NO_PREVIOUS_LENGTH = (1 << 64) - 1  # the first segment after a snapshot names none before it
+# Another segment begins with the sync that finds the present one larger than this.
+SEGMENT_ROLLOVER_BYTES = 32 << 20
+# Appended records are written to the file once more bytes than this are buffered.
+MAX_BUFFER_BYTES = 1 << 20
+# Magic, format version, segment number, length of the previous segment in bytes, checksum.
+_SEGMENT_HEADER = struct.Struct("<8sIQQI")
+# Magic, format version, number of the segment that follows, data length in bytes, checksum.
+_SNAPSHOT_HEADER = struct.Struct("<8sIQQI")
+_SEGMENT_MAGIC = b"lifthlog"
+_SNAPSHOT_MAGIC = b"lifthsnp"
+_FORMAT_VERSION = 1
+# Stands for the previous segment's length in the first segment, and in the first after a snapshot.
+NO_PREVIOUS_LENGTH = (1 << 64) - 1
 
 
 @dataclass(frozen=True, slots=True)
 class StoreProblem:
-    """Why a folder can't be used: nothing is made up in place of what is lost."""
+    """Why a folder can't be used: lost data is reported, never replaced by a guess."""
 
     file: str
+    # Bytes from the start of the file.
     offset: int
     why: str
 
@@ -52,22 +63,29 @@
 
 @dataclass(slots=True)
 class StoreContents:
-    """What a folder holds, read without changing it."""
+    """What a folder contains, read without changing it."""
 
     snapshot: bytes | None
-    first_segment: int  # segment after the snapshot
+    # Number of the first segment that is in use: the one after the snapshot.
+    first_segment: int
+    # Number of the last segment in use; less than `first_segment` if there is none.
     last_segment: int
+    # Kind and data of each record after the snapshot.
     records: list[tuple[int, bytes]]
-    end: int  # of the last segment's sound records
-    torn_bytes: int  # bytes after that
-    stale_files: list[str]  # files that a crash left behind
+    # Offset in bytes at which the last segment's readable records end.
+    end: int
+    # Bytes of the last segment after `end`.
+    torn_bytes: int
+    # Names of the files that a crash left behind.
+    stale_files: list[str]
 
 
-def _name(kind: str, number: int) -> str:
+def _file_name(kind: str, number: int) -> str:
     return f"{kind}-{number:08d}"
 
 
 def _numbers(names: list[str], kind: str) -> list[int]:
+    """Return the numbers of all files of a kind, `log` or `snapshot`, in the order of the names."""
     return [
         int(name[len(kind) + 1 :])
         for name in names
@@ -75,197 +93,252 @@
     ]
 
 
-def _head(form: struct.Struct, magic: bytes, first: int, second: int, data: bytes = b"") -> bytes:
-    check = crc32c.crc32c(data, crc32c.crc32c(form.pack(magic, _FORMAT, first, second, 0)))
-    return form.pack(magic, _FORMAT, first, second, check)
+def _pack_header(
+    layout: struct.Struct, magic: bytes, number: int, length: int, data: bytes = b""
+) -> bytes:
+    """Return the header of a segment or snapshot; its checksum also covers the data."""
+    unchecked = layout.pack(magic, _FORMAT_VERSION, number, length, 0)
+    checksum = crc32c.crc32c(data, crc32c.crc32c(unchecked))
+    return layout.pack(magic, _FORMAT_VERSION, number, length, checksum)
 
 
-def _snapshot(name: str, view: bytes, number: int) -> bytes | StoreProblem:
-    if len(view) < _SNAPSHOT.size:
-        return StoreProblem(name, len(view), "a snapshot without its head")
-    magic, form, first, length, _ = _SNAPSHOT.unpack_from(view)
-    data = view[_SNAPSHOT.size :]
-    if magic != _SNAPSHOT_MAGIC or form != _FORMAT:
+def _read_snapshot(name: str, content: bytes, number: int) -> bytes | StoreProblem:
+    """Return the data of a snapshot file that must be followed by the segment of that number."""
+    if len(content) < _SNAPSHOT_HEADER.size:
+        return StoreProblem(name, len(content), "a snapshot without its head")
+    magic, version, next_segment, length, _ = _SNAPSHOT_HEADER.unpack_from(content)
+    data = content[_SNAPSHOT_HEADER.size :]
+    if magic != _SNAPSHOT_MAGIC or version != _FORMAT_VERSION:
         return StoreProblem(name, 0, "no snapshot of a format known here")
     if (
-        first != number
+        next_segment != number
         or length != len(data)
-        or view[: _SNAPSHOT.size] != _head(_SNAPSHOT, _SNAPSHOT_MAGIC, first, length, data)
+        or content[: _SNAPSHOT_HEADER.size]
+        != _pack_header(_SNAPSHOT_HEADER, _SNAPSHOT_MAGIC, next_segment, length, data)
     ):
         return StoreProblem(name, 0, "the checksum of the snapshot does not fit")
     return data
 
 
 def inspect_folder(files: Files) -> StoreContents | StoreProblem:
-    """Reads a folder as it stands; changes nothing."""
+    """Read the folder as it is, changing nothing; `OSError` is raised if a file can't be read."""
     names = files.names()
-    snapshots, segments = _numbers(names, "snapshot"), _numbers(names, "log")
-    snapshot, first = None, min(segments, default=1)
+    snapshots = _numbers(names, "snapshot")
+    segments = _numbers(names, "log")
+    snapshot = None
+    first = min(segments, default=1)
     if snapshots:
         first = max(snapshots)
-        snapshot = _snapshot(_name("snapshot", first), files.read(_name("snapshot", first)), first)
+        snapshot_name = _file_name("snapshot", first)
+        snapshot = _read_snapshot(snapshot_name, files.read(snapshot_name), first)
         if isinstance(snapshot, StoreProblem):
             return snapshot
     elif segments and first != 1:
-        return StoreProblem(_name("log", first), 0, "the snapshot before this segment is missing")
-    unnamed = (
-        _name("log", first) + ".new"
-    )  # complete before the snapshot got its name, its own name lost
+        return StoreProblem(
+            _file_name("log", first), 0, "the snapshot before this segment is missing"
+        )
+    # The segment after the snapshot is complete before the snapshot gets its final name, but the
+    # crash may have lost the segment's own rename.
+    temporary_name = _file_name("log", first) + ".new"
     if snapshot is not None and first not in segments:
-        if unnamed not in names:
-            return StoreProblem(_name("log", first), 0, "the segment after the snapshot is missing")
+        if temporary_name not in names:
+            return StoreProblem(
+                _file_name("log", first), 0, "the segment after the snapshot is missing"
+            )
         segments = [*segments, first]
-    stale = [_name("snapshot", one) for one in snapshots if one < first]
-    stale += [_name("log", one) for one in segments if one < first]
+    stale = [_file_name("snapshot", number) for number in snapshots if number < first]
+    stale += [_file_name("log", number) for number in segments if number < first]
     stale += [
-        one
-        for one in names
-        if one.endswith(".new") and (one != unnamed or first in _numbers(names, "log"))
+        name
+        for name in names
+        if name.endswith(".new") and (name != temporary_name or first in _numbers(names, "log"))
     ]
-    segments = sorted(one for one in segments if one >= first)
-    found, end, torn, last = [], 0, 0, first - 1
-    for place, number in enumerate(segments):
-        name, final = _name("log", number), place == len(segments) - 1
+    segments = sorted(number for number in segments if number >= first)
+    found_records = []
+    end = 0
+    torn_bytes = 0
+    last = first - 1
+    for index, number in enumerate(segments):
+        name = _file_name("log", number)
+        is_final = index == len(segments) - 1
         if number != last + 1:
-            return StoreProblem(_name("log", last + 1), 0, "this segment is missing")
-        view = files.read(name if name in names else unnamed)
-        before = NO_PREVIOUS_LENGTH if number == first else end
+            return StoreProblem(_file_name("log", last + 1), 0, "this segment is missing")
+        content = files.read(name if name in names else temporary_name)
+        header = content[: _SEGMENT_HEADER.size]
+        previous_length = NO_PREVIOUS_LENGTH if number == first else end
         if (
-            final
+            is_final
             and number != first
-            and view[: _SEGMENT.size] == _head(_SEGMENT, _MAGIC, number, NO_PREVIOUS_LENGTH)
+            and header == _pack_header(_SEGMENT_HEADER, _SEGMENT_MAGIC, number, NO_PREVIOUS_LENGTH)
         ):
-            stale.append(name)  # begun for a snapshot that never got its name
+            # It was begun for a snapshot that never got its final name.
+            stale.append(name)
             break
-        if view[: _SEGMENT.size] != _head(_SEGMENT, _MAGIC, number, before):
-            if not final or len(view) > _SEGMENT.size or number == first and snapshot is not None:
+        if header != _pack_header(_SEGMENT_HEADER, _SEGMENT_MAGIC, number, previous_length):
+            if (
+                not is_final
+                or len(content) > _SEGMENT_HEADER.size
+                or (number == first and snapshot is not None)
+            ):
                 return StoreProblem(
                     name, 0, "the segment's head can't be read, or names another length before it"
                 )
-            stale.append(name)  # a crash while it was begun: nothing in it was ever durable
+            # The crash came while the segment was begun: nothing in it was ever durable.
+            stale.append(name)
             break
-        stop = records.find_end(view, _SEGMENT.size)
-        if isinstance(stop, CorruptRecord):
-            return StoreProblem(name, stop.at, "a record that was durable can't be read")
-        if not final and stop != len(view):
-            return StoreProblem(name, stop, "a record before the last segment can't be read")
-        found += [(one.kind, one.data) for one in records.scan(view, _SEGMENT.size)]
-        end, torn, last = stop, len(view) - stop, number
-    return StoreContents(snapshot, first, last, found, end, torn, stale)
+        segment_end = records.find_end(content, _SEGMENT_HEADER.size)
+        if isinstance(segment_end, CorruptRecord):
+            return StoreProblem(name, segment_end.offset, "a record that was durable can't be read")
+        if not is_final and segment_end != len(content):
+            return StoreProblem(name, segment_end, "a record before the last segment can't be read")
+        found_records += [
+            (record.kind, record.data) for record in records.scan(content, _SEGMENT_HEADER.size)
+        ]
+        end = segment_end
+        torn_bytes = len(content) - segment_end
+        last = number
+    return StoreContents(snapshot, first, last, found_records, end, torn_bytes, stale)
 
 
 class Store:
-    """An open folder; `found` and `snapshot` are what it held."""
-
-    def __init__(self, files: Files, state: StoreContents) -> None:
-        self.files, self.snapshot, self.recovered_records = files, state.snapshot, state.records
-        self._number, self._end, self._durable = state.last_segment, state.end, state.end
+    """An open folder; `snapshot` and `recovered_records` are what it contained when opened."""
+
+    def __init__(self, files: Files, contents: StoreContents) -> None:
+        self.files = files
+        self.snapshot = contents.snapshot
+        self.recovered_records = contents.records
+        # Number of the segment that is written now.
+        self._number = contents.last_segment
+        # Bytes written to that segment, and how many of them are durable.
+        self._end = contents.end
+        self._durable_offset = contents.end
         self._buffer: list[bytes] = []
-        self._gathered = 0
+        self._buffered_bytes = 0
+        # Descriptor of that segment; -1 if none is open.
         self._file = (
-            files.open(_name("log", state.last_segment))
-            if state.last_segment >= state.first_segment
+            files.open(_file_name("log", contents.last_segment))
+            if contents.last_segment >= contents.first_segment
             else -1
         )
         self.sync_count = 0
 
     @classmethod
     def open(cls, files: Files) -> Union["Store", StoreProblem]:
-        """Takes a folder, cuts a torn tail, and clears away what a crash left; errors of the system are raised."""
+        """Lock a folder, cut off a torn tail and remove the files that a crash left behind.
+
+        Returns the problem if the folder is in use or corrupt; raises `OSError`.
+        """
         if not files.lock():
             return StoreProblem("lock", 0, "another process uses this folder")
-        state = inspect_folder(files)
-        if isinstance(state, StoreProblem):
+        contents = inspect_folder(files)
+        if isinstance(contents, StoreProblem):
             files.unlock()
-            return state
-        for name in state.stale_files:
+            return contents
+        for name in contents.stale_files:
             files.remove(name)
         if (
-            state.last_segment >= state.first_segment
-            and _name("log", state.first_segment) not in files.names()
+            contents.last_segment >= contents.first_segment
+            and _file_name("log", contents.first_segment) not in files.names()
         ):
             files.rename(
-                _name("log", state.first_segment) + ".new", _name("log", state.first_segment)
+                _file_name("log", contents.first_segment) + ".new",
+                _file_name("log", contents.first_segment),
             )
-        if state.torn_bytes:
-            files.truncate(_name("log", state.last_segment), state.end)
-        store = cls(files, state)
+        if contents.torn_bytes:
+            files.truncate(_file_name("log", contents.last_segment), contents.end)
+        store = cls(files, contents)
         if store._file < 0:
-            store._begin(1, NO_PREVIOUS_LENGTH)
+            store._begin_segment(1, NO_PREVIOUS_LENGTH)
         files.sync_folder()
         return store
 
     @property
     def size(self) -> int:
-        """Bytes of the segment that is written now."""
-        return self._end + self._gathered
+        """Size in bytes of the segment that is written now, with what is buffered."""
+        return self._end + self._buffered_bytes
 
     def append(self, kind: int, data: bytes) -> None:
-        """Adds a record; it is durable after `sync`."""
-        packed = records.pack(kind, data, self._durable)
+        """Add a record; it is durable after `sync`."""
+        packed = records.pack(kind, data, self._durable_offset)
         self._buffer.append(packed)
-        self._gathered += len(packed)
-        if self._gathered > MAX_BUFFER_BYTES:
+        self._buffered_bytes += len(packed)
+        if self._buffered_bytes > MAX_BUFFER_BYTES:
             self._flush()
 
     def sync(self) -> None:
-        """Makes all records durable; an error of the system leaves the store unusable."""
+        """Make all records durable; after an `OSError` the store is unusable."""
         self._flush()
         self.files.sync(self._file)
         self.sync_count += 1
-        self._durable = self._end
+        self._durable_offset = self._end
         if self._end > SEGMENT_ROLLOVER_BYTES:
             self.files.close(self._file)
-            self._begin(self._number + 1, self._end)
+            self._begin_segment(self._number + 1, self._end)
+
+    def save_snapshot(self, data: bytes, retained: Iterable[tuple[int, bytes]]) -> None:
+        """Replace all records so far by a snapshot and the retained records (kind and data).
 
-    def save_snapshot(self, data: bytes, kept: Iterable[tuple[int, bytes]]) -> None:
-        """Lets a snapshot stand for all records so far, but for those `kept`; durable when it returns."""
+        Everything is durable on return; after an `OSError` the store is unusable.
+        """
         self._flush()
         self.files.sync(self._file)
         self.files.close(self._file)
         self._file = -1
-        number, former = self._number + 1, self._number
-        self._begin(number, NO_PREVIOUS_LENGTH, temporary=True)
-        for kind, one in kept:
-            self.append(kind, one)
+        number = self._number + 1
+        previous_number = self._number
+        self._begin_segment(number, NO_PREVIOUS_LENGTH, temporary=True)
+        for kind, record_data in retained:
+            self.append(kind, record_data)
         self._flush()
         self.files.sync(self._file)
-        self._durable = self._end
-        name = _name("snapshot", number)
+        self._durable_offset = self._end
+        name = _file_name("snapshot", number)
         file = self.files.open(name + ".new")
         try:
             self.files.write(
-                file, _head(_SNAPSHOT, _SNAPSHOT_MAGIC, number, len(data), data) + data
+                file,
+                _pack_header(_SNAPSHOT_HEADER, _SNAPSHOT_MAGIC, number, len(data), data) + data,
             )
             self.files.sync(file)
         finally:
             self.files.close(file)
-        # The segment gets its name first: until the snapshot has its own, both are left out as unfinished.
-        self.files.rename(_name("log", number) + ".new", _name("log", number))
+        # The segment gets its final name first: until the snapshot has its own, opening the store
+        # ignores both as unfinished.
+        self.files.rename(_file_name("log", number) + ".new", _file_name("log", number))
         self.files.rename(name + ".new", name)
         self.files.sync_folder()
         for kind in ("log", "snapshot"):
-            for one in _numbers(self.files.names(), kind):
-                if one <= former:
-                    self.files.remove(_name(kind, one))
+            for old_number in _numbers(self.files.names(), kind):
+                if old_number <= previous_number:
+                    self.files.remove(_file_name(kind, old_number))
 
     def close(self) -> None:
+        """Close the segment and unlock the folder; records that were not synced may be lost."""
         if self._file >= 0:
             self.files.close(self._file)
             self._file = -1
         self.files.unlock()
 
-    def _begin(self, number: int, before: int, temporary: bool = False) -> None:
-        name = _name("log", number) + (".new" if temporary else "")
+    def _begin_segment(self, number: int, previous_length: int, temporary: bool = False) -> None:
+        """Create a segment and write its header; it is durable on return unless temporary."""
+        name = _file_name("log", number) + (".new" if temporary else "")
         self._file = self.files.open(name)
-        self.files.write(self._file, _head(_SEGMENT, _MAGIC, number, before))
-        self._number, self._end, self._durable = number, _SEGMENT.size, 0
+        self.files.write(
+            self._file,
+            _pack_header(_SEGMENT_HEADER, _SEGMENT_MAGIC, number, previous_length),
+        )
+        self._number = number
+        self._end = _SEGMENT_HEADER.size
+        self._durable_offset = 0
         if not temporary:
             self.files.sync(self._file)
             self.files.sync_folder()
 
     def _flush(self) -> None:
-        data, self._buffer, self._gathered = b"".join(self._buffer), [], 0
+        """Write the buffered records to the segment, without a sync."""
+        data = b"".join(self._buffer)
+        self._buffer = []
+        self._buffered_bytes = 0
         if data:
             self.files.write(self._file, data)
             self._end += len(data)
