--- a/lifthinge/capture/__init__.py
+++ b/lifthinge/capture/__init__.py
@@ -1,1 +1,1 @@
-"""What the controller was told and what it ordered, on record, and the same decisions again from that."""
+"""Recording of the policy's events and orders, and replay of its decisions from that record."""
--- a/lifthinge/capture/codec.py
+++ b/lifthinge/capture/codec.py
@@ -1,18 +1,21 @@
-"""Events, orders and the whole decision state as plain values, and back: explicit, versioned, without pickle.
+"""Conversion of events, orders and the whole policy state to plain values and back.
 
-Backends, slices and proxies become numbers, named once by a definition; what else there may be is listed in
-`lifthinge.outer_names`, with its fields in their order. A type that is not listed there is an error when it is met,
-not when it is needed.
+The format is explicit, versioned and free of pickle. Backends, slices and proxies become numbers,
+each introduced once by a definition. All other types are listed in `lifthinge.outer_names`, with
+their fields in order. A type that is not listed there is an error when it is encoded, not only when
+the capture is read.
 
 >>> from lifthinge.interface import Backend, Slice, SetEntry
->>> one = ValueCodec(); line = SetEntry(Slice(3), Backend("s-a", "s-a"), 0.5)
->>> plain = one.encode(line); plain
+>>> codec = ValueCodec(); order = SetEntry(Slice(3), Backend("s-a", "s-a"), 0.5)
+>>> plain = codec.encode(order); plain
 ['o', 'SetLine', ['s', 0], ['b', 0], 0.5]
->>> [(tag, number, key) for tag, number, key, _ in one.take_definitions()]
+>>> [(tag, number, key) for tag, number, key, _ in codec.take_definitions()]
 [('s', 0, 3), ('b', 0, 's-a')]
 >>> other = ValueCodec(); other.define('s', 0, 3, []); other.define('b', 0, 's-a', [])
->>> again = other.decode(plain); (again.slice.number, again.backend.backend_id, again.weight), other.encode(again) == plain
-((3, 's-a', 0.5), True)
+>>> decoded = other.decode(plain); other.encode(decoded) == plain
+True
+>>> decoded.slice.number, decoded.backend.backend_id, decoded.weight
+(3, 's-a', 0.5)
 >>> other.decode(['o', 'Elsewhere'])
 Traceback (most recent call last):
     ...
@@ -32,192 +35,224 @@
 from lifthinge.outer_names import ENUMS, HOLDERS, KINDS, STATE, outer_name
 from lifthinge.policy import Policy
 
-FORMAT_VERSION = 2  # of the plain values; another form is not read
-NUMBERED_TYPES: dict[
-    str, tuple[type, str, tuple[str, ...]]
-] = {  # tag: kind, what it is known by, what the adapter sets
+# Version of the plain values of a keyframe's state; no other version is read.
+FORMAT_VERSION = 2
+# By tag: the type, the attribute that identifies an object, the attributes that the adapter sets.
+NUMBERED_TYPES: dict[str, tuple[type, str, tuple[str, ...]]] = {
     "b": (Backend, "backend_id", ("name", "is_withdrawn")),
     "s": (Slice, "number", ()),
     "p": (Proxy, "number", ("zone", "size", "is_bound")),
 }
-# Attributes of a `Policy` that are not written: `event_handlers` is made anew, and `settings` stands
-# in the keyframe beside the state.
+# Attributes of a `Policy` that are not written: `event_handlers` is made anew, and `settings` is in
+# the keyframe beside the state.
 UNRECORDED_ATTRIBUTES = ("event_handlers", "settings")
-_BARE = frozenset((type(None), bool, int, float, str, bytes))
-_OBJECTS = frozenset((Backend, Slice, Proxy))
+# Types whose values are written as they are.
+_BARE_TYPES = frozenset((type(None), bool, int, float, str, bytes))
+_OBJECT_TYPES = frozenset((Backend, Slice, Proxy))
 
 
-def _reader(names: tuple[str, ...]) -> Callable[[Any], tuple]:
-    """Reads all fields of a value at once."""
+def _field_reader(names: tuple[str, ...]) -> Callable[[Any], tuple]:
+    """Return a function that reads the named attributes of an object at once."""
     if len(names) > 1:
         return attrgetter(*names)
     return (lambda value: (getattr(value, names[0]),)) if names else (lambda value: ())
 
 
-_READ = {kind.type: (name, _reader(tuple(kind.fields.values()))) for name, kind in KINDS.items()}
-_READ_HOLDER = {kind: (name, _reader(names)) for name, (kind, names) in HOLDERS.items()}
+_KIND_READERS = {
+    kind.type: (name, _field_reader(tuple(kind.fields.values()))) for name, kind in KINDS.items()
+}
+_HOLDER_READERS = {kind: (name, _field_reader(names)) for name, (kind, names) in HOLDERS.items()}
 
 
 class CaptureFormatError(Exception):
-    """Plain values that no value of this form has."""
+    """A record that is not valid in this format."""
 
 
 class ValueCodec:
-    """Knows the objects of one capture by their numbers."""
+    """Encodes and decodes the values of one capture, numbering the objects in them."""
 
     def __init__(self) -> None:
-        self._numbers: dict[Any, list] = {}  # tag and number
+        # Tag and number by object.
+        self._numbers: dict[Any, list] = {}
+        # Objects by tag and number.
         self._objects: dict[tuple[str, int], Any] = {}
-        self._fresh: list[Any] = []
-        self._counts = dict.fromkeys(NUMBERED_TYPES, 0)
+        # Objects numbered by `encode` since the last call of `take_definitions`.
+        self._undefined: list[Any] = []
+        # The next free number by tag.
+        self._next_numbers = dict.fromkeys(NUMBERED_TYPES, 0)
 
-    # To plain values.
+    # Encoding.
 
     def encode(self, value: Any) -> Any:
+        """Return the plain form of a value; raise `TypeError` for a type that is not listed."""
         kind = type(value)
-        if kind in _BARE:
+        if kind in _BARE_TYPES:
             return value
-        fast = _READ.get(
-            kind
-        )  # nearly all that passes is an event of a few bare fields and one object
-        if fast is not None:
-            name, read = fast
+        # The fast path: nearly all values are events of a few bare fields and one object.
+        entry = _KIND_READERS.get(kind)
+        if entry is not None:
+            name, read = entry
             return [
                 "o",
                 name,
                 *[
-                    one
-                    if type(one) in _BARE
-                    else self._numbers.get(one) or self.encode(one)
-                    if type(one) in _OBJECTS
-                    else self.encode(one)
-                    for one in read(value)
+                    item
+                    if type(item) in _BARE_TYPES
+                    else self._numbers.get(item) or self.encode(item)
+                    if type(item) in _OBJECT_TYPES
+                    else self.encode(item)
+                    for item in read(value)
                 ],
             ]
-        if kind in _OBJECTS:
+        if kind in _OBJECT_TYPES:
             return self._number(value)
         if kind in (list, tuple, deque):
             return [{list: "l", tuple: "t", deque: "q"}[kind], *map(self.encode, value)]
         if kind is dict:
-            return ["d", *(self.encode(one) for pair in value.items() for one in pair)]
+            return ["d", *(self.encode(item) for pair in value.items() for item in pair)]
         if isinstance(value, Enum):
             return ["e", outer_name(kind), value.value]
         if kind is Random:
             version, state, gauss = value.getstate()
             return ["r", version, list(state), gauss]
-        if kind in _READ_HOLDER:
-            name, read = _READ_HOLDER[kind]
+        if kind in _HOLDER_READERS:
+            name, read = _HOLDER_READERS[kind]
             return ["h", name, *map(self.encode, read(value))]
         raise TypeError(f"{kind.__name__} has no plain form")
 
-    def _number(self, one: Any) -> list:
-        if one not in self._numbers:
-            tag = {Backend: "b", Slice: "s", Proxy: "p"}[type(one)]
-            self._keep(one, tag, self._counts[tag])
-            self._fresh.append(one)
-        return self._numbers[one]
+    def _number(self, item: Any) -> list:
+        """Return an object's tag and number, numbering it if it is new."""
+        if item not in self._numbers:
+            tag = {Backend: "b", Slice: "s", Proxy: "p"}[type(item)]
+            self._register(item, tag, self._next_numbers[tag])
+            self._undefined.append(item)
+        return self._numbers[item]
 
-    def _keep(self, one: Any, tag: str, number: int) -> None:
-        self._numbers[one] = [tag, number]
-        self._objects[tag, number] = one
-        self._counts[tag] = max(self._counts[tag], number + 1)
+    def _register(self, item: Any, tag: str, number: int) -> None:
+        self._numbers[item] = [tag, number]
+        self._objects[tag, number] = item
+        self._next_numbers[tag] = max(self._next_numbers[tag], number + 1)
 
     def take_definitions(self) -> Iterator[tuple[str, int, Any, list]]:
-        """What was numbered since the last call: tag, number, what it is known by, and what the adapter has set."""
-        fresh, self._fresh = self._fresh, []
-        for one in fresh:
-            tag, number = self._numbers[one]
-            _, key, given = NUMBERED_TYPES[tag]
-            yield tag, number, getattr(one, key), [getattr(one, name) for name in given]
+        """Yield what was numbered since the last call: tag, number, key and adapter-set values."""
+        undefined = self._undefined
+        self._undefined = []
+        for item in undefined:
+            tag, number = self._numbers[item]
+            _, key, adapter_attributes = NUMBERED_TYPES[tag]
+            yield (
+                tag,
+                number,
+                getattr(item, key),
+                [getattr(item, name) for name in adapter_attributes],
+            )
 
     def all_definitions(self) -> list[list]:
-        """All that has a number, as a keyframe defines it: what the adapter has set is in its state."""
+        """Return the definitions of all numbered objects, for a keyframe.
+
+        They omit the values set by the adapter, which are in the keyframe's state.
+        """
         return [
-            [tag, number, getattr(one, NUMBERED_TYPES[tag][1]), []]
-            for one, (tag, number) in self._numbers.items()
+            [tag, number, getattr(item, NUMBERED_TYPES[tag][1]), []]
+            for item, (tag, number) in self._numbers.items()
         ]
 
-    # And back.
+    # Decoding.
 
-    def define(self, tag: str, number: int, key: Any, given: list) -> None:
+    def define(self, tag: str, number: int, key: Any, adapter_values: list) -> None:
+        """Create and number an object, with as many of the adapter's values as are given."""
         kind, _, names = NUMBERED_TYPES[tag]
-        one = kind(key, str(key)) if kind is Backend else kind(key)
-        for name, value in zip(names, given):
-            setattr(one, name, value)
-        self._keep(one, tag, number)
+        item = kind(key, str(key)) if kind is Backend else kind(key)
+        for name, value in zip(names, adapter_values, strict=False):
+            setattr(item, name, value)
+        self._register(item, tag, number)
 
     def decode(self, plain: Any) -> Any:
+        """Return the value of its plain form; raise `CaptureFormatError` for an unknown kind.
+
+        Other malformed input raises the errors of the operations that it fails.
+        """
         if not isinstance(plain, list):
             return plain
-        tag, *rest = plain
+        tag, *parts = plain
         if tag in NUMBERED_TYPES:
-            found = self._objects.get((tag, rest[0]))
-            if found is None:
-                raise CaptureFormatError(f"{tag}{rest[0]} is not defined")
-            return found
+            item = self._objects.get((tag, parts[0]))
+            if item is None:
+                raise CaptureFormatError(f"{tag}{parts[0]} is not defined")
+            return item
         if tag in ("l", "t", "q"):
-            return {"l": list, "t": tuple, "q": deque}[tag](map(self.decode, rest))
+            return {"l": list, "t": tuple, "q": deque}[tag](map(self.decode, parts))
         if tag == "d":
-            values = list(map(self.decode, rest))
-            return dict(zip(values[::2], values[1::2]))
+            values = list(map(self.decode, parts))
+            return dict(zip(values[::2], values[1::2], strict=False))
         if tag == "e":
-            return ENUMS[rest[0]](rest[1])
+            return ENUMS[parts[0]](parts[1])
         if tag == "r":
-            dice = Random()
-            dice.setstate((rest[0], tuple(rest[1]), rest[2]))
-            return dice
-        if tag == "o" and rest[0] in KINDS:
-            return KINDS[rest[0]].type(*map(self.decode, rest[1:]))
-        if tag == "h" and rest[0] in HOLDERS:
-            kind, names = HOLDERS[rest[0]]
-            return self._filled(kind, names, rest[1:])
-        raise CaptureFormatError(f"no kind {rest[0] if rest else tag!r}")
-
-    def _filled(self, kind: type, names: tuple[str, ...], values: list) -> Any:
-        one = kind.__new__(kind)
+            generator = Random()
+            generator.setstate((parts[0], tuple(parts[1]), parts[2]))
+            return generator
+        if tag == "o" and parts[0] in KINDS:
+            return KINDS[parts[0]].type(*map(self.decode, parts[1:]))
+        if tag == "h" and parts[0] in HOLDERS:
+            kind, names = HOLDERS[parts[0]]
+            return self._decode_holder(kind, names, parts[1:])
+        raise CaptureFormatError(f"no kind {parts[0] if parts else tag!r}")
+
+    def _decode_holder(self, kind: type, names: tuple[str, ...], values: list) -> Any:
+        """Create an object without calling its constructor and set its attributes."""
+        holder = kind.__new__(kind)
         for name, value in zip(names, values, strict=True):
-            setattr(one, name, self.decode(value))
-        return one
+            setattr(holder, name, self.decode(value))
+        return holder
 
-    # The whole decision state.
+    # The whole policy state.
 
     def export_state(self, policy: Policy) -> list:
-        """All that an instance will ever decide by: what it keeps itself, and what it keeps on the objects it knows."""
+        """Return everything that a policy's later decisions depend on.
+
+        That is its own attributes, and the fields of all objects that it refers to. Raises
+        `TypeError` for an attribute that `outer_names.STATE` does not list.
+        """
         unnamed = vars(policy).keys() - set(STATE.values()) - set(UNRECORDED_ATTRIBUTES)
         if unnamed:
             raise TypeError(f"decision state without an outer name: {', '.join(sorted(unnamed))}")
-        own = {name: self.encode(getattr(policy, attribute)) for name, attribute in STATE.items()}
-        kept, done = [], 0
-        while done < len(self._numbers):  # objects name further objects
-            for one in list(self._numbers)[done:]:
-                names = [field.name for field in fields(one)]
-                kept.append(
-                    [*self._number(one), *(self.encode(getattr(one, name)) for name in names)]
+        attributes = {
+            name: self.encode(getattr(policy, attribute)) for name, attribute in STATE.items()
+        }
+        objects = []
+        done = 0
+        # Objects refer to further objects, which are numbered on the way.
+        while done < len(self._numbers):
+            for item in list(self._numbers)[done:]:
+                names = [field.name for field in fields(item)]
+                objects.append(
+                    [*self._number(item), *(self.encode(getattr(item, name)) for name in names)]
                 )
                 done += 1
-        return [FORMAT_VERSION, own, kept]
+        return [FORMAT_VERSION, attributes, objects]
 
     def restore_policy(
-        self, terms: interface.SiteSettings, state: list, kind: type = Policy
+        self, settings: interface.SiteSettings, state: list, kind: type = Policy
     ) -> Any:
-        """An instance that decides alike ever after; the objects must have been defined.
+        """Return a policy that decides from here on as the exported one did.
 
-        Another text's (`kind`) takes over what both keep, and begins with the rest as at a start.
+        The objects must have been defined. A policy class of another revision (`kind`) takes over
+        the attributes that both have and keeps its initial values for the others.
         """
-        form, own, kept = state
-        if form != FORMAT_VERSION:
-            raise CaptureFormatError(f"a keyframe of form {form}, not {FORMAT_VERSION}")
-        policy = kind(terms, 0)
-        for tag, number, *values in kept:
-            one = self._objects[tag, number]
-            for field, value in zip(fields(one), values, strict=True):
-                setattr(one, field.name, self.decode(value))
+        version, attributes, objects = state
+        if version != FORMAT_VERSION:
+            raise CaptureFormatError(f"a keyframe of form {version}, not {FORMAT_VERSION}")
+        policy = kind(settings, 0)
+        for tag, number, *values in objects:
+            item = self._objects[tag, number]
+            for field, value in zip(fields(item), values, strict=True):
+                setattr(item, field.name, self.decode(value))
         known = {name for name, attribute in STATE.items() if attribute in vars(policy)}
-        if kind is Policy and known != set(own):
+        if kind is Policy and known != set(attributes):
             raise CaptureFormatError(
-                f"a keyframe of another text: {', '.join(sorted(known ^ set(own)))}"
+                f"a keyframe of another text: {', '.join(sorted(known ^ set(attributes)))}"
             )
-        for name, value in own.items():
+        for name, value in attributes.items():
             if name in known:
                 setattr(policy, STATE[name], self.decode(value))
         return policy
--- a/lifthinge/capture/turns.py
+++ b/lifthinge/capture/turns.py
@@ -1,12 +1,18 @@
-"""Turns of the decisions as records: what was told and when, and a digest of what was ordered; and the same played again.
+"""Recording of a policy's turns, one call of `decide` each, and their replay.
+
+A record has the time, the events and a digest of the orders. A replay decides on the recorded
+events again and compares the digests.
 
 A capture is a list of records, each a plain value:
 
-    ["k", terms, definitions, state]                a keyframe: from here on a replay may begin
-    ["t", now, definitions, given, events, digest]  one call of `decide`
-    ["x", from, until, why]                         what was left out: a replay goes on at the next keyframe
+    ["k", settings, definitions, state]
+        a keyframe: a replay may begin here
+    ["t", now, definitions, proxy_values, events, digest]
+        one call of `decide`
+    ["x", from, until, why]
+        a gap: what was left out; a replay goes on at the next keyframe
 
-`given` is what the adapter has set on proxies that joined. Times are milliseconds.
+`proxy_values` is what the adapter has set on proxies that joined. Times are milliseconds.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -23,91 +29,116 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def digest_of(coder: ValueCodec, orders: list[Order]) -> bytes:
-    """What tells one list of orders from another; what is said beside them explains, and names names."""
+def digest_of(codec: ValueCodec, orders: list[Order]) -> bytes:
+    """Return the digest of a list of orders, 16 bytes.
+
+    `LogDecision` is left out: it explains the other orders, and its text contains backend names.
+    """
     return blake3(
-        _encode([coder.encode(order) for order in orders if type(order) is not LogDecision])
+        _encode([codec.encode(order) for order in orders if type(order) is not LogDecision])
     ).digest(length=16)
 
 
 class Recorder:
-    """Stands before a `Policy` and puts on record what passes; `take` gives the records since the last call."""
+    """Wraps a `Policy` and records its turns, beginning with a keyframe."""
 
     def __init__(self, policy: Policy) -> None:
-        self.policy, self.codec = policy, ValueCodec()
+        self.policy = policy
+        self.codec = ValueCodec()
         self._records: list[list] = []
         self.keyframe()
 
     def keyframe(self) -> None:
-        """From here on a replay may begin, whatever becomes of what came before."""
+        """Record a keyframe: a replay may begin here without the records before."""
         state = self.codec.export_state(self.policy)
-        self._records.append(["k", self.codec.encode(self.policy.settings), self._all(), state])
+        self._records.append(
+            ["k", self.codec.encode(self.policy.settings), self._keyframe_definitions(), state]
+        )
 
-    def _all(self) -> list:
+    def _keyframe_definitions(self) -> list:
+        """Return the definitions of all objects, so that later turns need not define them."""
         list(self.codec.take_definitions())
         return self.codec.all_definitions()
 
     def decide(self, now: float, events: Iterable[Event]) -> list[Order]:
+        """Call the policy's `decide` at a time in ms, record the turn and return the orders."""
         events = list(events)
-        told = [self.codec.encode(event) for event in events]
+        encoded_events = [self.codec.encode(event) for event in events]
         joined = [event.proxy for event in events if type(event) is ProxyJoined]
-        given = [[*self.codec.encode(one), one.zone, one.size, one.is_bound] for one in joined]
-        record = ["t", now, [list(one) for one in self.codec.take_definitions()], given, told]
+        proxy_values = [
+            [*self.codec.encode(proxy), proxy.zone, proxy.size, proxy.is_bound] for proxy in joined
+        ]
+        definitions = [list(definition) for definition in self.codec.take_definitions()]
+        record = ["t", now, definitions, proxy_values, encoded_events]
         orders = self.policy.decide(now, events)
         record.append(digest_of(self.codec, orders))
         self._records.append(record)
         return orders
 
     def take_records(self) -> list[list]:
-        records, self._records = self._records, []
+        """Return the records since the last call."""
+        records = self._records
+        self._records = []
         return records
 
 
 @dataclass(frozen=True)
 class ReplayMismatch:
-    """The first turn at which a replay ordered otherwise."""
+    """The first turn at which a replay's orders differ from the recorded ones."""
 
-    record_index: int  # record
+    record_index: int
+    # Time of the turn in ms.
     now: float
     events: list[Event]
-    orders: list[Order]  # of the replay
+    # The orders of the replay; the record has only the digest of its own.
+    orders: list[Order]
 
 
 class Replay:
-    """Plays records again; `turns` counts those that came out alike."""
+    """Decides on recorded events again; `turn_count` counts the turns whose orders agreed."""
 
     def __init__(self, kind: type = Policy) -> None:
-        self.kind = kind  # another text of the decisions orders otherwise: nothing is compared then
+        # A policy class other than `Policy` may order otherwise: its digests are not compared.
+        self.kind = kind
         self.codec: ValueCodec | None = None
         self.policy: Policy | None = None
-        self.events: list[Event] = []  # of the last turn, and what was ordered
+        # Events and orders of the last turn.
+        self.events: list[Event] = []
         self.orders: list[Order] = []
-        self.turn_count = self.skipped_turn_count = 0
-        self.digest = blake3()  # of all orders: ten replays give one
+        self.turn_count = 0
+        self.skipped_turn_count = 0
+        # Digest of all orders: repeated replays of a capture must give the same.
+        self.digest = blake3()
 
     def run(self, records: Iterable[list]) -> ReplayMismatch | None:
-        """None if all came out as recorded, else where it parted; `CaptureFormatError` if a record makes no sense."""
-        for place, record in enumerate(records):
+        """Replay records and return the first mismatch, or None if all orders agreed.
+
+        Turns before the first keyframe, or between a gap and the next one, are skipped. Raises
+        `CaptureFormatError` for an invalid record.
+        """
+        for index, record in enumerate(records):
             kind = record[0] if record else None
             if kind == "k":
                 if self.policy is None:
-                    self._guard(place, lambda: self._begin(*record[1:]))
+                    # The lambdas are called at once, while `record` is this iteration's.
+                    self._guard(index, lambda: self._restore(*record[1:]))  # noqa: B023
             elif kind == "x":
                 self.policy = None
             elif kind != "t":
-                raise CaptureFormatError(f"record {place} is of no kind known here")
+                raise CaptureFormatError(f"record {index} is of no kind known here")
             elif self.policy is None:
                 self.skipped_turn_count += 1
             else:
-                told = self._guard(place, lambda: self._told(*record[1:]))
-                parted = self._replay_turn(place, *told)
-                if parted:
-                    return parted
+                # The lambda is called at once here, too.
+                turn = self._guard(index, lambda: self._decode_turn(*record[1:]))  # noqa: B023
+                mismatch = self._replay_turn(index, *turn)
+                if mismatch:
+                    return mismatch
         return None
 
     @staticmethod
-    def _guard(place: int, read: Callable[[], Any]) -> Any:
-        """What is read of a record that anyone may have written."""
+    def _guard(index: int, read: Callable[[], Any]) -> Any:
+        """Call a function that reads an untrusted record; turn its errors into one kind."""
         try:
             return read()
         except (
@@ -119,42 +150,54 @@
             OverflowError,
             RecursionError,
         ) as error:
-            raise CaptureFormatError(f"record {place}: {type(error).__name__}: {error}") from None
+            raise CaptureFormatError(f"record {index}: {type(error).__name__}: {error}") from None
 
-    def _begin(self, terms: Any, definitions: list, state: list) -> None:
+    def _restore(self, settings: Any, definitions: list, state: list) -> None:
+        """Begin at a keyframe with a new codec and the policy of its state."""
         self.codec = ValueCodec()
-        for one in definitions:
-            self.codec.define(*one)
-        self.policy = self.codec.restore_policy(self.codec.decode(terms), state, self.kind)
-
-    def _told(
-        self, now: float, definitions: list, given: list, told: list, digest: bytes
+        for definition in definitions:
+            self.codec.define(*definition)
+        self.policy = self.codec.restore_policy(self.codec.decode(settings), state, self.kind)
+
+    def _decode_turn(
+        self,
+        now: float,
+        definitions: list,
+        proxy_values: list,
+        encoded_events: list,
+        digest: bytes,
     ) -> tuple[float, list[Event], bytes]:
-        for one in definitions:
-            self.codec.define(*one)
-        for tag, number, zone, size, bound in given:
+        """Return time in ms, events and digest of a turn, and set what the adapter had set."""
+        for definition in definitions:
+            self.codec.define(*definition)
+        for tag, number, zone, size, is_bound in proxy_values:
             proxy = self.codec.decode([tag, number])
-            proxy.zone, proxy.size, proxy.is_bound = zone, size, bound
-        return now + 0.0, [self.codec.decode(one) for one in told], digest
+            proxy.zone = zone
+            proxy.size = size
+            proxy.is_bound = is_bound
+        # The addition makes a time that is no number a TypeError here, where it is caught.
+        return now + 0.0, [self.codec.decode(event) for event in encoded_events], digest
 
     def _replay_turn(
-        self, place: int, now: float, events: list[Event], digest: bytes
+        self, index: int, now: float, events: list[Event], digest: bytes
     ) -> ReplayMismatch | None:
+        """Decide on a turn's events and compare the orders with the recorded digest."""
         orders = self.policy.decide(now, events)
-        self.events, self.orders = events, orders
-        found = digest_of(self.codec, orders)
-        self.digest.update(found)
-        if found != digest and self.kind is Policy:
-            return ReplayMismatch(place, now, events, orders)
+        self.events = events
+        self.orders = orders
+        replayed_digest = digest_of(self.codec, orders)
+        self.digest.update(replayed_digest)
+        if replayed_digest != digest and self.kind is Policy:
+            return ReplayMismatch(index, now, events, orders)
         self.turn_count += 1
         return None
 
 
 def from_keyframes(records: list[list]) -> Iterator[list[list]]:
-    """The records from each keyframe on: each must replay alike."""
-    for place, record in enumerate(records):
+    """Yield the records from each keyframe on: each list must replay alike."""
+    for index, record in enumerate(records):
         if record[0] == "k":
-            yield records[place:]
+            yield records[index:]
 
 
 __all__ = [
