--- a/lifthinge/capture/capture.py
+++ b/lifthinge/capture/capture.py
@@ -23,9 +23,9 @@
 
     def __init__(self, policy: Policy, writer: SegmentWriter, counters: Counters) -> None:
         self.recorder, self.writer, self.counters = Recorder(policy), writer, counters
-        self._due: SimpleQueue[list[list] | None] = SimpleQueue()
+        self._queue: SimpleQueue[list[list] | None] = SimpleQueue()
         self._waiting = 0  # records given to the thread, less those that it has written
-        self._written: deque[int] = deque()
+        self._written_counts: deque[int] = deque()
         self._left_out: float | None = None  # since when
         self.failure = ""
         self._thread = Thread(target=self._run, name="capture", daemon=True)
@@ -35,8 +35,8 @@
         """Decides, and puts it on record."""
         if self.failure:
             return self.recorder.policy.decide(now, events)
-        while self._written:
-            self._waiting -= self._written.popleft()
+        while self._written_counts:
+            self._waiting -= self._written_counts.popleft()
         if self._waiting >= MAX_WAITING_RECORDS:
             self._left_out = now if self._left_out is None else self._left_out
             self.counters.add("capture.left_out")
@@ -51,23 +51,23 @@
         orders = self.recorder.decide(now, events)
         records += self.recorder.take_records()
         self._waiting += len(records)
-        self._due.put(records)
+        self._queue.put(records)
         self.counters.add("capture.turns")
         return orders
 
     def _run(self) -> None:
-        while (records := self._due.get()) is not None:
+        while (records := self._queue.get()) is not None:
             try:
                 self.writer.write(records)
             except OSError as error:
                 self.failure = error.strerror or str(error)
                 log.error("capture_failed", {"why": self.failure})
                 return
-            self._written.append(len(records))
+            self._written_counts.append(len(records))
 
     def close(self) -> None:
         """Writes what waits."""
-        self._due.put(None)
+        self._queue.put(None)
         self._thread.join(5.0)
         self.writer.close()
 
--- a/lifthinge/capture/segments.py
+++ b/lifthinge/capture/segments.py
@@ -5,7 +5,7 @@
 
 >>> import tempfile
 >>> folder = Path(tempfile.mkdtemp())
->>> writer = SegmentWriter(folder, {"name": "n0"}, budget=1 << 20, segment=60)
+>>> writer = SegmentWriter(folder, {"name": "n0"}, budget_bytes=1 << 20, rollover_bytes=60)
 >>> _ = writer.write([["k", 1, [], [1, {}, []]], ["t", 1.0, [], [], [], b""]])
 >>> _ = writer.write([["t", 2.0, [], [], [], b""], ["k", 1, [], [1, {}, []]], ["t", 3.0, [], [], [], b""]])
 >>> writer.close(); [one.first_ms for one in list_segments(folder)], [[r[0] for r in read_segment(one.path)[1]] for one in list_segments(folder)]
@@ -58,15 +58,22 @@
     Used by one thread. `budget` and `segment` are bytes.
     """
 
-    def __init__(self, folder: Path, head: dict[str, Any], budget: int, segment: int) -> None:
-        self.folder, self.header, self.budget, self.segment = folder, head, budget, segment
+    def __init__(
+        self, folder: Path, head: dict[str, Any], budget_bytes: int, rollover_bytes: int
+    ) -> None:
+        self.folder, self.header, self.budget_bytes, self.rollover_bytes = (
+            folder,
+            head,
+            budget_bytes,
+            rollover_bytes,
+        )
         folder.mkdir(parents=True, exist_ok=True, mode=0o700)
         self._number = max((int(one.name[4:]) for one in _paths(folder)), default=0)
         self._file, self._size = -1, 0
 
     @property
     def wants_keyframe(self) -> bool:
-        return self._file < 0 or self._size > self.segment
+        return self._file < 0 or self._size > self.rollover_bytes
 
     def write(self, turns: list[list]) -> int:
         """Bytes that were written; errors of the system are raised."""
@@ -110,7 +117,7 @@
         sizes = [(path, path.stat().st_size) for path in _paths(self.folder)]
         total = sum(size for _, size in sizes)
         for path, size in sizes[:-1]:
-            if total <= self.budget:
+            if total <= self.budget_bytes:
                 break
             path.unlink()
             total -= size
--- a/tests/check_capture.py
+++ b/tests/check_capture.py
@@ -101,23 +101,23 @@
 def check_folder_replays() -> None:
     """A capture on disk, in many segments and over its budget, replays; cut anywhere it replays up to there."""
     counters, folder = Counters(), Path(tempfile.mkdtemp())
-    writer = SegmentWriter(folder, {"life": 1}, budget=40_000, segment=6_000)
+    writer = SegmentWriter(folder, {"life": 1}, budget_bytes=40_000, rollover_bytes=6_000)
 
     class Captured(stage.Stage):
         def tell(self, *events: object) -> None:
             if self.policy is None:
                 self.policy = CapturingPolicy(Policy(self.terms, 7), writer, counters)
-                self.policy._due.put(
+                self.policy._queue.put(
                     None
                 )  # in step here: which turn begins a segment must not hang on threads
                 self.policy._thread.join()
-                self.policy._due = InStep()
+                self.policy._queue = InStep()
             super().tell(*events)
 
     class InStep:
         def put(self, records: list | None) -> None:
             writer.write(records or [])
-            played.policy._written.append(len(records or []))
+            played.policy._written_counts.append(len(records or []))
 
     played = Captured()
     played.run("\n".join((HERE / "scenarios" / name).read_text() for name in ("fill.txt",)))
