--- a/lifthinge/capture/against.py
+++ b/lifthinge/capture/against.py
@@ -1,7 +1,8 @@
-"""Another text of the decisions on the same input: where the two part, and how often.
+"""Comparison of the policy with another revision of it on the same recorded input.
 
-The world would have answered the other text's orders otherwise: from the first parting on, what both hear is what the
-recorded text brought about. So partings tell where to look, not which text is better.
+The proxies and backends would have responded differently to the other revision's orders: from the
+first divergence on, both revisions receive events that the recorded one brought about. So
+divergences tell where to look, not which revision is better.
 """
 
 import importlib.util
@@ -16,35 +17,43 @@
 from lifthinge.interface import Event, LogDecision, Order, SetTimer
 from lifthinge.outer_names import outer_name
 
-MODULE = "lifthinge/policy.py"
-QUIET = (LogDecision, SetTimer)  # orders that change nothing outside
+POLICY_PATH = "lifthinge/policy.py"
+# Orders that change nothing outside the controller; they are not compared.
+INTERNAL_ORDERS = (LogDecision, SetTimer)
 
 
-def load_policy_class(where: str) -> type | str:
-    """`Policy` of another text, a file or a revision of this repository; or why there is none."""
-    path = Path(where)
+def load_policy_class(source: str) -> type | str:
+    """Return the `Policy` class of a file, a folder or a git revision, or why it can't be loaded.
+
+    A folder is a root of this repository; a revision is looked up in the current folder's one.
+    """
+    path = Path(source)
     if path.is_dir():
-        path = path / MODULE
+        path = path / POLICY_PATH
     if not path.is_file():
-        shown = subprocess.run(["git", "show", f"{where}:{MODULE}"], capture_output=True, text=True)
-        if shown.returncode:
-            return f"{where}: no file, and no revision that has {MODULE}"
+        git_show = subprocess.run(
+            ["git", "show", f"{source}:{POLICY_PATH}"], capture_output=True, text=True
+        )
+        if git_show.returncode:
+            return f"{source}: no file, and no revision that has {POLICY_PATH}"
         with tempfile.NamedTemporaryFile("w", suffix=".py", delete=False) as file:
-            file.write(shown.stdout)
+            file.write(git_show.stdout)
         path = Path(file.name)
     spec = importlib.util.spec_from_file_location("lifthinge_other_policy", path)
     module = importlib.util.module_from_spec(spec)
     try:
         spec.loader.exec_module(module)
         return module.Policy
-    except Exception as error:  # another text may fail in any way
-        return f"{where}: {type(error).__name__}: {error}"
+    # The loaded code may fail in any way.
+    except Exception as error:
+        return f"{source}: {type(error).__name__}: {error}"
 
 
 @dataclass
 class Divergence:
-    """The first turn at which the two ordered otherwise."""
+    """A turn at which the two revisions' orders differ."""
 
+    # Time of the turn in ms.
     now: float
     events: list[Event]
     current_orders: list[Order]
@@ -53,38 +62,42 @@
 
 @dataclass
 class PolicyComparison:
-    """Both texts in step."""
+    """Replays records with the current policy and, step by step, with the class `kind`."""
 
     kind: type
+    # Turns that both replayed, and those of them in which the orders differ.
     turn_count: int = 0
     divergence_count: int = 0
     first_divergence: Divergence | None = None
-    current_orders: Counter = field(default_factory=Counter)  # orders by kind
+    # Numbers of orders by their outer names.
+    current_orders: Counter = field(default_factory=Counter)
     other_orders: Counter = field(default_factory=Counter)
 
     def __post_init__(self) -> None:
-        self._one, self._other = Replay(), Replay(self.kind)
+        self._current = Replay()
+        self._other = Replay(self.kind)
 
     def run(self, records: Iterable[list]) -> None:
-        """Plays on; `CaptureFormatError` if a record makes no sense."""
+        """Replay further records; raise `CaptureFormatError` for an invalid one."""
         for record in records:
-            self._one.run([record])
+            self._current.run([record])
             self._other.run([record])
-            if record[0] != "t" or self._one.policy is None or self._other.policy is None:
+            if record[0] != "t" or self._current.policy is None or self._other.policy is None:
                 continue
             self.turn_count += 1
-            ours, theirs = (
-                [order for order in played.orders if not isinstance(order, QUIET)]
-                for played in (self._one, self._other)
+            current_orders, other_orders = (
+                [order for order in replay.orders if not isinstance(order, INTERNAL_ORDERS)]
+                for replay in (self._current, self._other)
             )
-            self.current_orders.update(outer_name(type(order)) for order in ours)
-            self.other_orders.update(outer_name(type(order)) for order in theirs)
-            if self._one.codec.encode(ours) != self._other.codec.encode(theirs):
+            self.current_orders.update(outer_name(type(order)) for order in current_orders)
+            self.other_orders.update(outer_name(type(order)) for order in other_orders)
+            if self._current.codec.encode(current_orders) != self._other.codec.encode(other_orders):
                 self.divergence_count += 1
                 self.first_divergence = self.first_divergence or Divergence(
-                    record[1], self._one.events, ours, theirs
+                    record[1], self._current.events, current_orders, other_orders
                 )
 
     def reset(self) -> None:
-        """Another start of the program."""
-        self._one.policy = self._other.policy = None
+        """Wait for the next keyframe: the following records are of another start of the program."""
+        self._current.policy = None
+        self._other.policy = None
