--- a/lifthinge/cluster/client_messages.py
+++ b/lifthinge/cluster/client_messages.py
@@ -1,4 +1,8 @@
-"""What clients ask a member, and what they are answered: MessagePack in sealed frames, numbered by the asker."""
+"""Requests of clients to a member, and the replies.
+
+They are MessagePack in authenticated frames. Each is sent as a pair with a number, which the client
+chooses and the reply repeats. Tags and the order of the fields are the wire format.
+"""
 
 from typing import Union
 
@@ -15,40 +19,48 @@
 
 
 class OpenSessionRequest(msgspec.Struct, array_like=True, frozen=True, tag="Begin"):
-    """Opens a session, within which proposals are numbered."""
+    """Opens a session, within which proposals are numbered.
+
+    `nonce` is a random number of the client.
+    """
 
     nonce: bytes
 
 
 class GetVersion(msgspec.Struct, array_like=True, frozen=True, tag="Show"):
-    """The document that stands now, agreed by a majority; `version` asks for one of before."""
+    """Asks for the latest agreed document, confirmed by a majority, or for an earlier `version`."""
 
     version: int | None = None
 
 
 class ListVersions(msgspec.Struct, array_like=True, frozen=True, tag="History"):
-    """Versions from `since` on, without their bodies; as many as fit."""
+    """Asks for the versions from `since` on, without bodies; the reply holds at most one page."""
 
     since: int = 0
 
 
 class GetStatus(msgspec.Struct, array_like=True, frozen=True, tag="Status"):
-    """How the member sees the cluster; answered at any time."""
+    """Asks how the member sees the cluster; answered at any time, without a majority."""
 
 
 class ChangeMembership(msgspec.Struct, array_like=True, frozen=True, tag="Change"):
-    """Adds a member, or removes it where no address is given."""
+    """Adds a member, or removes it if `address` is None."""
 
     name: str
     address: str | None = None
 
 
 class TransferLeadership(msgspec.Struct, array_like=True, frozen=True, tag="HandOver"):
+    """Asks the leader to transfer its leadership to the member `target`."""
+
     target: str
 
 
 class Subscribe(msgspec.Struct, array_like=True, frozen=True, tag="Follow"):
-    """A front end: the document that stands, then each that follows. `held`: term and index that it obeys."""
+    """Asks for the latest document and for each later one, as they are agreed.
+
+    `held` is the term and log index of the document that the subscriber holds.
+    """
 
     held: tuple[int, int] = (0, 0)
 
@@ -66,7 +78,11 @@
 
 
 class Rejection(msgspec.Struct, array_like=True, frozen=True, tag="Sorry"):
-    """Refused, at once: why, and who leads. `may_have_run`: it went to the log, and what became of it is unknown."""
+    """A request was refused or got no result.
+
+    `why` is the reason; `leader` and `address` name the leader, if known. With `may_have_run` the
+    request was appended to the log and its outcome is unknown.
+    """
 
     why: str
     leader: str = ""
@@ -75,21 +91,27 @@
 
 
 class VersionReply(Version, array_like=True, frozen=True, tag="Shown"):
-    """A version as it is told; version 0 with no body where none was ever agreed."""
+    """A version of the document; version 0 without a body if none was ever agreed."""
 
 
 class VersionList(msgspec.Struct, array_like=True, frozen=True, tag="Versions"):
+    """The reply to `ListVersions`: versions without bodies, oldest first."""
+
     versions: tuple[VersionReply, ...]
 
 
 class Done(msgspec.Struct, array_like=True, frozen=True, tag="Done"):
-    """A change of members stands."""
+    """A change of members or an entry without a result of its own took effect at log `index`."""
 
     index: int
 
 
 class MemberStatus(msgspec.Struct, array_like=True, frozen=True):
-    """A member as the one asked sees it; `match` and `heard_ms` only where that one leads."""
+    """A member as the reporting member sees it.
+
+    `match` is the highest log index known to be replicated to it, `heard_ms` the milliseconds since
+    it was last heard from; both are -1 unless the reporting member leads.
+    """
 
     name: str
     address: str
@@ -99,7 +121,10 @@
 
 
 class StatusReport(msgspec.Struct, array_like=True, frozen=True, tag="Report"):
-    """How a member sees the cluster."""
+    """How a member sees itself and the cluster.
+
+    `commit`, `last` and `snapshot` are log indexes; `digest` is that of the agreed state.
+    """
 
     name: str
     role: str
@@ -128,28 +153,32 @@
     StatusReport,
 ]
 
-_asks, _replies = (
-    msgspec.msgpack.Decoder(tuple[int, Request]),
-    msgspec.msgpack.Decoder(tuple[int, Reply]),
-)
+_request_decoder = msgspec.msgpack.Decoder(tuple[int, Request])
+_reply_decoder = msgspec.msgpack.Decoder(tuple[int, Reply])
 _encoder = msgspec.msgpack.Encoder()
 
 
-def encode(number: int, one: Request | Reply) -> bytes:
-    return _encoder.encode((number, one))
+def encode(number: int, message: Request | Reply) -> bytes:
+    """Encode a request or a reply with the request's number."""
+    return _encoder.encode((number, message))
 
 
 def decode_request(body: bytes) -> tuple[int, Request]:
-    """An ask out of untrusted bytes; `msgspec.ValidationError` or `DecodeError` if it is none."""
-    return _asks.decode(body)
+    """Decode untrusted bytes into a request's number and the request.
+
+    Raises:
+        msgspec.ValidationError, msgspec.DecodeError: the bytes are not a request.
+    """
+    return _request_decoder.decode(body)
 
 
 def decode_reply(body: bytes) -> tuple[int, Reply]:
-    return _replies.decode(body)
+    """Decode the number of a request and the reply to it; raises as `decode_request` does."""
+    return _reply_decoder.decode(body)
 
 
-def version_reply(version: Version | None, body: bool = True) -> VersionReply:
-    """A version as it is told.
+def version_reply(version: Version | None, include_body: bool = True) -> VersionReply:
+    """Convert a version, or None for no document, into a reply.
 
     >>> version_reply(None).version
     0
@@ -162,6 +191,6 @@
         version.index,
         version.proposed_at_ms,
         version.author,
-        version.body if body else b"",
+        version.body if include_body else b"",
         version.digest,
     )
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -1,4 +1,8 @@
-"""A member of the cluster on sockets: drives the protocol, the disk and the agreed state, and answers clients."""
+"""The server of one cluster member.
+
+It connects the Raft node, the disk and the agreed document's state machine to sockets, and answers
+clients.
+"""
 
 import asyncio
 import logging
@@ -28,48 +32,58 @@
 log = logging.getLogger(__name__)
 Address = tuple[str, int]
 
-REDIAL = 100.0, 1_000.0  # ms until a member that can't be reached is tried again
-ASK_WAIT = 8_000.0  # ms until a client hears that the fate of its proposal is unknown
-READ_WAIT = 3_000.0  # ms that a read may wait for a round and for what is to be applied
-TOUCH_LEAST = 2.0  # election time-outs without a majority: then it says so
-CLIENTS_MOST, ASKS_MOST, ASKS_EACH = 2_000, 8_192, 512
-SNAPSHOT_BYTES = 20 << 20  # of the log held: time for a snapshot, however few entries they are
-SNAPSHOT_LATEST = 3.0  # times that, while one is on its way to a member
-HISTORY_PAGE = 200
-KEPT_MOST = 16  # messages to a member that is being dialled
-CATCH_UP_EVERY = 200.0  # ms between a fresh member's questions to the leader
+# An unreachable member is dialed again after a random delay between these two.
+MIN_REDIAL_DELAY_MS = 100.0
+MAX_REDIAL_DELAY_MS = 1_000.0
+REQUEST_TIMEOUT_MS = 8_000.0  # then a client is told that the outcome of its proposal is unknown
+READ_TIMEOUT_MS = 3_000.0  # covers the heartbeat round and the entries still to be applied
+QUORUM_WINDOW_ELECTION_TIMEOUTS = 2.0  # without a majority for longer, the member reports it
+MAX_INBOUND_LINKS = 2_000
+MAX_PENDING_REQUESTS = 8_192  # of all links together
+MAX_PENDING_REQUESTS_PER_LINK = 512
+SNAPSHOT_LOG_BYTES = 20 << 20  # a log of this size is compacted, however few entries it holds
+MAX_SNAPSHOT_DELAY_FACTOR = 3.0  # times the usual limits, while a snapshot is sent to a member
+MAX_VERSIONS_PER_REPLY = 200
+MAX_QUEUED_MESSAGES = 16  # for each member that is being dialed
+CATCH_UP_INTERVAL_MS = 200.0  # between a restarted member's read requests to the leader
 
 
 @dataclass(frozen=True)
 class MemberSettings:
-    """Which member this is, of which cluster."""
+    """Identity, address and options of a member."""
 
     cluster: str
     name: str
     listen: Address
     options: RaftOptions
     keys: Callable[[str], Keys]
-    snapshot_entries: int = 20_000  # behind the last snapshot: time for another
+    snapshot_entries: int = 20_000  # applied since the last snapshot; then the log is compacted
 
 
 @dataclass(eq=False, slots=True)
-class _Ask:
-    """A client's question under way."""
+class _PendingRequest:
+    """A client's request that has not been answered yet."""
 
     link: Link
-    number: int
+    number: int  # the client's number of the request
     deadline: Any = None
-    term: int = 0
-    sent: bool = False  # it is in the log
+    term: int = 0  # in which the leader appended its entry
+    sent: bool = False  # whether its entry was appended to the log
 
 
 class MemberServer:
-    """Owns one member; `fatal` is called with the reason once it can't go on."""
+    """Run one member; `on_fatal` is called with a reason when it cannot continue."""
 
     def __init__(
-        self, settings: MemberSettings, runtime: Runtime, disk: Disk, fatal: Callable[[str], None]
+        self,
+        settings: MemberSettings,
+        runtime: Runtime,
+        disk: Disk,
+        on_fatal: Callable[[str], None],
     ) -> None:
-        self.settings, self.runtime, self.fatal = settings, runtime, fatal
+        self.settings = settings
+        self.runtime = runtime
+        self.on_fatal = on_fatal
         self.raft = Raft(
             settings.name,
             runtime.rng,
@@ -78,129 +92,154 @@
             settings.options,
         )
         self.state = DocumentStateMachine()
-        self.committer = Committer(disk, self._durable, lambda error: self._fail(f"disk: {error}"))
-        self.ready = False  # it has applied what was committed when it first asked
-        self.in_touch = True
-        self.removed = False
-        self._in: dict[Link, None] = {}
-        self._out: dict[str, Link] = {}  # by member: the link that we dialled
-        self._from: dict[str, Link] = {}  # by member: the latest that it dialled
-        self._dialling: set[str] = set()
-        self._kept: dict[str, deque[messages.Message]] = {}  # said while a member is being dialled
-        self._dial_wait: dict[str, float] = {}
-        self._followers: dict[Link, int] = {}  # front ends: the number of their question
-        self._each: dict[Link, int] = {}  # asks under way, by client
-        self._asks = 0
-        self._proposed: dict[int, list[_Ask]] = {}  # by index
-        self._reads: dict[_Ask, client_messages.GetVersion] = {}
-        self._to_apply: list[tuple[int, object]] = []  # reads that wait until this index is applied
-        self._turn_due = self._over = False
-        self._tick: Any = None
+        self.committer = Committer(
+            disk, self._on_durable, lambda error: self._fail(f"disk: {error}")
+        )
+        self.ready = False  # has applied everything that was committed when it started
+        self.in_touch = True  # heard from a majority recently
+        self.removed = False  # by a committed membership change
+        self._inbound_links: dict[Link, None] = {}
+        self._dialed_links: dict[str, Link] = {}  # by the name of the member dialed
+        self._inbound_by_member: dict[str, Link] = {}  # the latest from each member
+        self._dialing: set[str] = set()
+        self._queued_messages: dict[str, deque[messages.Message]] = {}  # while dialing
+        self._redial_at_ms: dict[str, float] = {}
+        self._subscribers: dict[Link, int] = {}  # the numbers of their Subscribe requests
+        self._pending_per_link: dict[Link, int] = {}
+        self._pending_count = 0
+        self._pending_proposals: dict[int, list[_PendingRequest]] = {}  # by log index
+        self._pending_reads: dict[_PendingRequest, client_messages.GetVersion] = {}
+        # Reads that wait until an index is applied: (index, token); -1 for a failed read.
+        self._reads_awaiting_apply: list[tuple[int, object]] = []
+        self._is_output_scheduled = False
+        self._is_stopped = False
+        self._tick_timer: Any = None
         self._server: asyncio.Server | None = None
-        self._tasks: set[asyncio.Task] = set()
-        self._catching_up = False
-        self._role = Role.FOLLOWER
-        self._told = 0  # index of the version that front ends were told last
+        self._dial_tasks: set[asyncio.Task] = set()
+        self._is_catching_up = False
+        self._last_role = Role.FOLLOWER
+        self._last_published_index = 0  # the log index of a version
 
     async def start(self) -> None:
+        """Listen, start the Raft node, and begin to catch up and to dial the other members."""
         self._server = await asyncio.get_running_loop().create_server(
             self._accept, *self.settings.listen, backlog=512
         )
-        self._turn()
+        self._process_output()
         self._catch_up()
-        self._look_around()
+        self._keep_connected()
 
     @property
     def bound_address(self) -> Address:
+        """The host and port on which the member listens."""
         return self._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
-        """Takes nothing more; what is being written is written to its end."""
-        self._over = True
+        """Close all connections and wait until the disk has finished the current write."""
+        self._is_stopped = True
         if self._server is not None:
             self._server.close()
-        for task in list(self._tasks):
+        for task in list(self._dial_tasks):
             task.cancel()
-        for link in [*self._in, *self._out.values()]:
+        for link in [*self._inbound_links, *self._dialed_links.values()]:
             link.abort()
         await asyncio.get_running_loop().run_in_executor(None, self.committer.close)
 
-    def _fail(self, why: str) -> None:
-        """What can't be written can't be promised: the member stops, and the others go on."""
-        if not self._over:
-            self._over = True
-            log.error("member_failed", {"why": why})
-            self.fatal(why)
+    def _fail(self, reason: str) -> None:
+        """Stop this member and report why; the others go on.
 
-    # Turns.
+        A member that cannot write must not acknowledge anything.
+        """
+        if not self._is_stopped:
+            self._is_stopped = True
+            log.error("member_failed", {"why": reason})
+            self.on_fatal(reason)
 
-    def _wake(self) -> None:
-        """One turn after this pass of the loop: what has come by then goes together."""
-        if not self._turn_due and not self._over:
-            self._turn_due = True
-            asyncio.get_running_loop().call_soon(self._turn)
+    # Output of the Raft node.
 
-    def _turn(self) -> None:
-        self._turn_due = False
-        if self._over:
+    def _schedule_output(self) -> None:
+        """Process the node's output after this pass of the event loop, as one batch."""
+        if not self._is_output_scheduled and not self._is_stopped:
+            self._is_output_scheduled = True
+            asyncio.get_running_loop().call_soon(self._process_output)
+
+    def _process_output(self) -> None:
+        """Send messages, submit writes, apply committed entries and answer reads."""
+        self._is_output_scheduled = False
+        if self._is_stopped:
             return
-        out = self.raft.take_output()
-        for to, message in out.messages:
-            self._say(to, message)
-        if out.writes:
-            self.committer.submit(out.writes)
-        for one in out.to_apply:
-            self._apply(one)
-        for token, index in out.read_results:
-            self._to_apply.append((index, token))
-        if self._to_apply:
-            self._press_reads()
-        if out.to_apply:
-            self._tell_followers()
+        output = self.raft.take_output()
+        for recipient, message in output.messages:
+            self._send_to_member(recipient, message)
+        if output.writes:
+            self.committer.submit(output.writes)
+        for entry in output.to_apply:
+            self._apply(entry)
+        for token, index in output.read_results:
+            self._reads_awaiting_apply.append((index, token))
+        if self._reads_awaiting_apply:
+            self._serve_applied_reads()
+        if output.to_apply:
+            self._publish_latest()
             self._compact()
-        self._note_role()
-        self._arm()
-
-    def _arm(self) -> None:
-        """A time that has moved on is not set anew each time: it is looked at once the former one is due."""
-        due = self.raft.next_tick_at
-        if self._tick is not None and self._tick.is_pending:
-            if self._tick.due_at_ms <= due:
+        self._update_role()
+        self._schedule_tick()
+
+    def _schedule_tick(self) -> None:
+        """Schedule the node's next tick.
+
+        If the tick has moved to a later time, the earlier timer stays: when it fires, the next one
+        is scheduled.
+        """
+        due_at_ms = self.raft.next_tick_at
+        if self._tick_timer is not None and self._tick_timer.is_pending:
+            if self._tick_timer.due_at_ms <= due_at_ms:
                 return
-            self._tick.cancel()
-        if due < NEVER:
-            self._tick = self.runtime.deadlines.schedule(due - self.runtime.now, self._ticked)
+            self._tick_timer.cancel()
+        if due_at_ms < NEVER:
+            self._tick_timer = self.runtime.deadlines.schedule(
+                due_at_ms - self.runtime.now, self._on_tick
+            )
 
-    def _ticked(self) -> None:
-        if self._over:
+    def _on_tick(self) -> None:
+        """Tell the node the time."""
+        if self._is_stopped:
             return
         self.raft.tick(self.runtime.now)
-        self._turn()
+        self._process_output()
 
-    def _look_around(self) -> None:
-        """Every election's time: links are up before they are needed, as an election waits for no dial."""
-        if self._over:
+    def _keep_connected(self) -> None:
+        """Dial members without a link, once per election timeout.
+
+        Links are opened before they are needed, as an election does not wait for dialing.
+        """
+        if self._is_stopped:
             return
-        for one in self.raft.log.configuration.members:
-            if one.name != self.settings.name:
-                self._reach(one.name)
-        self._note_touch()
+        for member in self.raft.log.configuration.members:
+            if member.name != self.settings.name:
+                self._start_dialing(member.name)
+        self._update_in_touch()
         self.runtime.deadlines.schedule(
-            self.settings.options.election_timeout_ms, self._look_around
+            self.settings.options.election_timeout_ms, self._keep_connected
         )
 
-    def _durable(self, number: int) -> None:
-        if not self._over:
+    def _on_durable(self, number: int) -> None:
+        """Tell the node that all writes up to this number are durable."""
+        if not self._is_stopped:
             self.raft.record_durable(number)
-            self._turn()
+            self._process_output()
 
-    def _note_role(self) -> None:
-        if self.raft.role is not self._role and Role.LEADER in (self.raft.role, self._role):
+    def _update_role(self) -> None:
+        """Log a change of leadership, and note whether this member has been removed."""
+        if self.raft.role is not self._last_role and Role.LEADER in (
+            self.raft.role,
+            self._last_role,
+        ):
             log.info(
                 "leads" if self.raft.role is Role.LEADER else "leads_no_more",
                 {"term": self.raft.term},
             )
-        self._role = self.raft.role
+        self._last_role = self.raft.role
         configuration = self.raft.log.configuration
         if (
             configuration.members
@@ -213,182 +252,222 @@
         else:
             self.removed = False
 
-    def _note_touch(self) -> None:
-        touch = self.raft.has_recent_quorum(
-            self.runtime.now, TOUCH_LEAST * self.settings.options.election_timeout_ms
+    def _update_in_touch(self) -> None:
+        """Note and log whether a majority has been heard from recently."""
+        in_touch = self.raft.has_recent_quorum(
+            self.runtime.now,
+            QUORUM_WINDOW_ELECTION_TIMEOUTS * self.settings.options.election_timeout_ms,
         )
-        if touch != self.in_touch:
-            self.in_touch = touch
+        if in_touch != self.in_touch:
+            self.in_touch = in_touch
             log.log(
-                logging.INFO if touch else logging.WARNING,
-                "in_touch" if touch else "no_majority",
+                logging.INFO if in_touch else logging.WARNING,
+                "in_touch" if in_touch else "no_majority",
                 {"version": self.state.version, "term": self.raft.term},
             )
 
-    # Applying.
+    # Committed entries and reads.
 
-    def _apply(self, one: Entry | Snapshot) -> None:
-        if isinstance(one, Snapshot):
-            if one.data:
-                self.state.restore(one.data)
+    def _apply(self, entry: Entry | Snapshot) -> None:
+        """Apply a committed entry or an installed snapshot, and answer the waiting requests."""
+        if isinstance(entry, Snapshot):
+            if entry.data:
+                self.state.restore(entry.data)
             else:
-                self.state.skip(one.index, one.term)
-            for index in [index for index in self._proposed if index <= one.index]:
-                for ask in self._proposed.pop(index):
+                self.state.skip(entry.index, entry.term)
+            for index in [index for index in self._pending_proposals if index <= entry.index]:
+                for pending in self._pending_proposals.pop(index):
                     self._answer(
-                        ask, Rejection("its fate is unknown", may_have_run=True, **self._leader())
+                        pending,
+                        Rejection(
+                            "its fate is unknown", may_have_run=True, **self._leader_fields()
+                        ),
                     )
             return
-        if one.kind is EntryKind.COMMAND:
-            answer = self.state.apply(one.index, one.term, one.data)
+        if entry.kind is EntryKind.COMMAND:
+            answer = self.state.apply(entry.index, entry.term, entry.data)
         else:
-            self.state.skip(one.index, one.term)
-            answer = client_messages.Done(one.index)
-        for ask in self._proposed.pop(one.index, ()):
+            self.state.skip(entry.index, entry.term)
+            answer = client_messages.Done(entry.index)
+        for pending in self._pending_proposals.pop(entry.index, ()):
             self._answer(
-                ask,
+                pending,
                 answer
-                if ask.term == one.term
-                else Rejection("another entry took its place", **self._leader()),
+                if pending.term == entry.term
+                else Rejection("another entry took its place", **self._leader_fields()),
             )
 
     def _compact(self) -> None:
-        behind, size = self.state.index - self.raft.log.snapshot.index, self.raft.log.size_bytes
-        due = max(behind / self.settings.snapshot_entries, size / SNAPSHOT_BYTES)
-        if due < 1 or due < SNAPSHOT_LATEST and self.raft.is_sending_snapshot:
+        """Take a snapshot and compact the log once it is long or large enough.
+
+        While a snapshot is being sent to a member, the log may grow further.
+        """
+        entries_behind = self.state.index - self.raft.log.snapshot.index
+        log_bytes = self.raft.log.size_bytes
+        fill_ratio = max(
+            entries_behind / self.settings.snapshot_entries, log_bytes / SNAPSHOT_LOG_BYTES
+        )
+        if (
+            fill_ratio < 1
+            or fill_ratio < MAX_SNAPSHOT_DELAY_FACTOR
+            and self.raft.is_sending_snapshot
+        ):
             return
         if self.raft.compact(self.state.index, self.state.export()):
             self.runtime.counters.add("member.snapshots")
-            self._wake()
+            self._schedule_output()
 
-    def _press_reads(self) -> None:
-        waiting, self._to_apply = self._to_apply, []
+    def _serve_applied_reads(self) -> None:
+        """Answer the reads whose index has been applied, and those that have failed."""
+        waiting, self._reads_awaiting_apply = self._reads_awaiting_apply, []
         for index, token in waiting:
             if 0 <= index and index > self.state.index:
-                self._to_apply.append((index, token))
+                self._reads_awaiting_apply.append((index, token))
             elif token == "catch-up":
-                self._caught_up(index)
+                self._finish_catch_up(index)
             else:
-                self._read_done(token, index)
+                self._answer_read(token, index)
 
-    def _read_done(self, ask: _Ask, index: int) -> None:
-        show = self._reads.pop(ask, None)
-        if show is None:
+    def _answer_read(self, pending: _PendingRequest, index: int) -> None:
+        """Answer a read from the applied state; a negative index means that it failed."""
+        request = self._pending_reads.pop(pending, None)
+        if request is None:
             return
         if index < 0:
-            self._answer(ask, Rejection("nobody leads who could say", **self._leader()))
-        elif type(show) is client_messages.ListVersions:
-            later = [one for one in self.state.versions if one.version >= show.since]
+            self._answer(pending, Rejection("nobody leads who could say", **self._leader_fields()))
+        elif type(request) is client_messages.ListVersions:
+            later = [version for version in self.state.versions if version.version >= request.since]
             self._answer(
-                ask,
+                pending,
                 client_messages.VersionList(
                     tuple(
-                        client_messages.version_reply(one, body=False)
-                        for one in later[:HISTORY_PAGE]
+                        client_messages.version_reply(version, include_body=False)
+                        for version in later[:MAX_VERSIONS_PER_REPLY]
                     )
                 ),
             )
-        elif show.version is None:
-            self._answer(ask, client_messages.version_reply(self.state.latest))
+        elif request.version is None:
+            self._answer(pending, client_messages.version_reply(self.state.latest))
         else:
-            found = next((one for one in self.state.versions if one.version == show.version), None)
+            version = next(
+                (version for version in self.state.versions if version.version == request.version),
+                None,
+            )
             self._answer(
-                ask,
-                client_messages.version_reply(found)
-                if found
-                else Rejection(f"version {show.version} is not kept"),
+                pending,
+                client_messages.version_reply(version)
+                if version
+                else Rejection(f"version {request.version} is not kept"),
             )
 
-    # Catching up after a start.
+    # Catching up after a restart.
 
     def _catch_up(self) -> None:
-        if self.ready or self._over:
+        """Ask the leader for its commit index, repeatedly until the member is ready."""
+        if self.ready or self._is_stopped:
             return
-        if not self._catching_up and not isinstance(
+        if not self._is_catching_up and not isinstance(
             self.raft.read("catch-up", self.runtime.now), Refusal
         ):
-            self._catching_up = True
-            self.runtime.deadlines.schedule(READ_WAIT, self._catch_up_late)
-            self._wake()
-        self.runtime.deadlines.schedule(CATCH_UP_EVERY, self._catch_up)
-
-    def _catch_up_late(self) -> None:
-        if self._catching_up:
+            self._is_catching_up = True
+            self.runtime.deadlines.schedule(READ_TIMEOUT_MS, self._cancel_catch_up)
+            self._schedule_output()
+        self.runtime.deadlines.schedule(CATCH_UP_INTERVAL_MS, self._catch_up)
+
+    def _cancel_catch_up(self) -> None:
+        """Give up a catch-up read that was not answered in time; the next one follows."""
+        if self._is_catching_up:
             self.raft.cancel_read("catch-up")
-            self._catching_up = False
+            self._is_catching_up = False
 
-    def _caught_up(self, index: int) -> None:
-        self._catching_up = False
+    def _finish_catch_up(self, index: int) -> None:
+        """Mark the member as ready; a negative index means that the read failed."""
+        self._is_catching_up = False
         if index >= 0 and not self.ready:
             self.ready = True
             log.info(
                 "caught_up", {"index": index, "version": self.state.version, "term": self.raft.term}
             )
-            self._tell_followers()
+            self._publish_latest()
+
+    # Links to other members.
 
-    # Members.
+    def _send_to_member(self, recipient: str, message: messages.Message) -> None:
+        """Send a message, or queue it while the member is being dialed.
 
-    def _say(self, to: str, message: messages.Message) -> None:
-        link = self._out.get(to)
-        if link is None and to in self._from and self.raft.log.configuration.get(to) is None:
-            link = self._from[
-                to
-            ]  # a newcomer knows nobody's address yet: it answers where it was asked
+        It is dropped if the link's outbox is full or the member cannot be dialed now; Raft repeats
+        what matters.
+        """
+        link = self._dialed_links.get(recipient)
+        if (
+            link is None
+            and recipient in self._inbound_by_member
+            and self.raft.log.configuration.get(recipient) is None
+        ):
+            # A new member does not know any address yet: it answers on the link that it was sent on.
+            link = self._inbound_by_member[recipient]
         if link is not None and not link.is_closed:
             if link.send(messages.encode(message)):
                 self.runtime.counters.add("member.sent")
             else:
                 self.runtime.counters.add("member.unsent")
             return
-        self._reach(to)
-        if to in self._dialling:
-            waiting = self._kept.setdefault(to, deque(maxlen=KEPT_MOST))
-            waiting.append(message)
+        self._start_dialing(recipient)
+        if recipient in self._dialing:
+            queue = self._queued_messages.setdefault(recipient, deque(maxlen=MAX_QUEUED_MESSAGES))
+            queue.append(message)
 
-    def _reach(self, to: str) -> None:
-        """Dials a member that no link goes to, unless that failed just now."""
+    def _start_dialing(self, name: str) -> None:
+        """Dial a member without a link, unless that failed a moment ago."""
         if (
-            to not in self._dialling
-            and to not in self._out
-            and self.runtime.now >= self._dial_wait.get(to, 0.0)
+            name not in self._dialing
+            and name not in self._dialed_links
+            and self.runtime.now >= self._redial_at_ms.get(name, 0.0)
         ):
-            self._dialling.add(to)
-            task = asyncio.get_running_loop().create_task(self._dial(to))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
-
-    async def _dial(self, to: str) -> None:
-        member = self.raft.log.configuration.get(to) or next(
+            self._dialing.add(name)
+            task = asyncio.get_running_loop().create_task(self._dial(name))
+            self._dial_tasks.add(task)
+            task.add_done_callback(self._dial_tasks.discard)
+
+    async def _dial(self, name: str) -> None:
+        """Connect to a member, at its address in the current or an earlier configuration."""
+        member = self.raft.log.configuration.get(name) or next(
             (
-                one
+                candidate
                 for _, configuration in self.raft.log.configurations
-                for one in configuration.members
-                if one.name == to
+                for candidate in configuration.members
+                if candidate.name == name
             ),
             None,
         )
         try:
             address = member.address.rsplit(":", 1) if member else None
-            found = (
+            connection = (
                 await connect(
-                    self.runtime, lambda: self._link(dialed_peer=to), (address[0], int(address[1]))
+                    self.runtime,
+                    lambda: self._create_link(dialed_peer=name),
+                    (address[0], int(address[1])),
                 )
                 if address
                 else None
             )
-            if found is None or isinstance(found, Failure):
+            if connection is None or isinstance(connection, Failure):
                 self.runtime.counters.add("member.unreachable")
-                self._redial_later(to)
+                self._postpone_redial(name)
         except (ValueError, IndexError):
-            self.runtime.rate_limited_log.warning("member_address_bad", member=to)
-            self._redial_later(to)
-
-    def _redial_later(self, to: str) -> None:
-        self._dialling.discard(to)
-        self._kept.pop(to, None)
-        self._dial_wait[to] = self.runtime.now + self.runtime.rng.uniform(*REDIAL)
+            self.runtime.rate_limited_log.warning("member_address_bad", member=name)
+            self._postpone_redial(name)
+
+    def _postpone_redial(self, name: str) -> None:
+        """End an attempt to dial: drop the queued messages and delay the next attempt."""
+        self._dialing.discard(name)
+        self._queued_messages.pop(name, None)
+        self._redial_at_ms[name] = self.runtime.now + self.runtime.rng.uniform(
+            MIN_REDIAL_DELAY_MS, MAX_REDIAL_DELAY_MS
+        )
 
-    def _link(self, dialed_peer: str = "") -> Link:
+    def _create_link(self, dialed_peer: str = "") -> Link:
+        """Create a link to the member `dialed_peer`, or an inbound one if it is empty."""
         link = Link(
             self.runtime,
             self.settings.keys,
@@ -397,44 +476,53 @@
             dialed_peer=dialed_peer,
             expected_peer=dialed_peer,
         )
-        link.on_open, link.on_message, link.on_close = self._opened, self._heard, self._closed
+        link.on_open = self._on_open
+        link.on_message = self._on_message
+        link.on_close = self._on_close
         return link
 
     def _accept(self) -> Link:
-        link = self._link()
-        if len(self._in) >= CLIENTS_MOST:
+        """Create the link of an inbound connection; it is aborted at once if there are too many."""
+        link = self._create_link()
+        if len(self._inbound_links) >= MAX_INBOUND_LINKS:
             self.runtime.rate_limited_log.warning("member_full")
             asyncio.get_running_loop().call_soon(link.abort)
-        self._in[link] = None
+        self._inbound_links[link] = None
         return link
 
-    def _opened(self, link: Link) -> None:
+    def _on_open(self, link: Link) -> None:
+        """Register a link whose peer is authenticated, and send it the queued messages."""
         if link.dialed_peer:
-            self._out[link.dialed_peer] = link
-            self._dialling.discard(link.dialed_peer)
+            self._dialed_links[link.dialed_peer] = link
+            self._dialing.discard(link.dialed_peer)
             self.runtime.counters.add("member.links")
-            for message in self._kept.pop(link.dialed_peer, ()):
+            for message in self._queued_messages.pop(link.dialed_peer, ()):
                 link.send(messages.encode(message))
         elif link.peer_hello.role == "member":
-            self._from[link.peer_hello.sender] = link
-            self._dial_wait.pop(link.peer_hello.sender, None)  # it is back
-
-    def _closed(self, link: Link) -> None:
-        self._in.pop(link, None)
-        self._followers.pop(link, None)
-        self._each.pop(link, None)
-        if link.peer_hello is not None and self._from.get(link.peer_hello.sender) is link:
-            del self._from[link.peer_hello.sender]
-        if link.dialed_peer and self._out.get(link.dialed_peer, link) is link:
-            self._out.pop(link.dialed_peer, None)
-            self._redial_later(link.dialed_peer)
-
-    def _heard(self, link: Link, body: bytes) -> None:
-        if self._over:
+            self._inbound_by_member[link.peer_hello.sender] = link
+            self._redial_at_ms.pop(link.peer_hello.sender, None)  # it is reachable again
+
+    def _on_close(self, link: Link) -> None:
+        """Forget a closed link; a member that was dialed is dialed again later."""
+        self._inbound_links.pop(link, None)
+        self._subscribers.pop(link, None)
+        self._pending_per_link.pop(link, None)
+        if (
+            link.peer_hello is not None
+            and self._inbound_by_member.get(link.peer_hello.sender) is link
+        ):
+            del self._inbound_by_member[link.peer_hello.sender]
+        if link.dialed_peer and self._dialed_links.get(link.dialed_peer, link) is link:
+            self._dialed_links.pop(link.dialed_peer, None)
+            self._postpone_redial(link.dialed_peer)
+
+    def _on_message(self, link: Link, body: bytes) -> None:
+        """Decode a message and pass it to the node or to the client requests."""
+        if self._is_stopped:
             return
         try:
             if link.peer_hello.role == "client":
-                number, ask = client_messages.decode_request(body)
+                number, request = client_messages.decode_request(body)
             else:
                 message = messages.decode(body)
         except (msgspec.ValidationError, msgspec.DecodeError) as error:
@@ -444,160 +532,189 @@
             link.abort()
             return
         if link.peer_hello.role == "client":
-            self._asked(link, number, ask)
+            self._handle_request(link, number, request)
         else:
             try:
                 self.raft.step(link.peer_hello.sender, message, self.runtime.now)
-            except (
-                AssertionError
-            ) as error:  # a promise of the protocol is broken: nothing may build on it
+            except AssertionError as error:
+                # An invariant of Raft is violated: the member must not go on from this state.
                 self._fail(f"protocol: {error}")
                 return
-        self._wake()
+        self._schedule_output()
 
     # Clients.
 
-    def _leader(self) -> dict[str, str]:
+    def _leader_fields(self) -> dict[str, str]:
+        """Return the leader's name and address as fields of a `Rejection`; empty if unknown."""
         name = self.raft.leader or ""
         member = self.raft.log.configuration.get(name)
         return {"leader": name, "address": member.address if member else ""}
 
-    def _asked(self, link: Link, number: int, what: client_messages.Request) -> None:
-        ask = _Ask(link, number)
-        if type(what) is client_messages.GetStatus:
-            link.send(client_messages.encode(number, self._report()))
+    def _handle_request(self, link: Link, number: int, request: client_messages.Request) -> None:
+        """Answer a client's request, or start what it asks for and register it as pending."""
+        pending = _PendingRequest(link, number)
+        if type(request) is client_messages.GetStatus:
+            link.send(client_messages.encode(number, self._status_report()))
             return
-        if self._each.get(link, 0) >= ASKS_EACH or self._asks >= ASKS_MOST:
+        if (
+            self._pending_per_link.get(link, 0) >= MAX_PENDING_REQUESTS_PER_LINK
+            or self._pending_count >= MAX_PENDING_REQUESTS
+        ):
             self.runtime.counters.add("member.busy")
             link.send(
                 client_messages.encode(
-                    number, Rejection(RefusalReason.BUSY.value, **self._leader())
+                    number, Rejection(RefusalReason.BUSY.value, **self._leader_fields())
                 )
             )
             return
-        if type(what) is client_messages.Subscribe:
-            self._follow(ask, what)
+        if type(request) is client_messages.Subscribe:
+            self._subscribe(pending, request)
             return
         if not self.ready:
-            link.send(client_messages.encode(number, Rejection("catching up", **self._leader())))
+            link.send(
+                client_messages.encode(number, Rejection("catching up", **self._leader_fields()))
+            )
             return
-        self._each[link] = self._each.get(link, 0) + 1
-        self._asks += 1
-        ask.deadline = self.runtime.deadlines.schedule(
-            READ_WAIT
-            if type(what) in (client_messages.GetVersion, client_messages.ListVersions)
-            else ASK_WAIT,
-            lambda: self._given_up(ask),
+        self._pending_per_link[link] = self._pending_per_link.get(link, 0) + 1
+        self._pending_count += 1
+        pending.deadline = self.runtime.deadlines.schedule(
+            READ_TIMEOUT_MS
+            if type(request) in (client_messages.GetVersion, client_messages.ListVersions)
+            else REQUEST_TIMEOUT_MS,
+            lambda: self._on_timeout(pending),
         )
-        if type(what) in (client_messages.GetVersion, client_messages.ListVersions):
-            self._reads[ask] = what
-            self._settle(ask, self.raft.read(ask, self.runtime.now))
-        elif type(what) is client_messages.TransferLeadership:
-            refused = self.raft.transfer_leadership(what.target, self.runtime.now)
-            self._settle(ask, refused) if refused else self._answer(
-                ask, client_messages.Done(self.raft.commit_index)
+        if type(request) in (client_messages.GetVersion, client_messages.ListVersions):
+            self._pending_reads[pending] = request
+            self._handle_raft_result(pending, self.raft.read(pending, self.runtime.now))
+        elif type(request) is client_messages.TransferLeadership:
+            refusal = self.raft.transfer_leadership(request.target, self.runtime.now)
+            self._handle_raft_result(pending, refusal) if refusal else self._answer(
+                pending, client_messages.Done(self.raft.commit_index)
             )
-        elif type(what) is client_messages.ChangeMembership:
-            self._settle(
-                ask, self.raft.change_membership(what.name, what.address, self.runtime.now)
+        elif type(request) is client_messages.ChangeMembership:
+            self._handle_raft_result(
+                pending,
+                self.raft.change_membership(request.name, request.address, self.runtime.now),
             )
-        elif type(what) is client_messages.OpenSessionRequest:
-            self._settle(
-                ask, self.raft.propose(pack_command(OpenSession(what.nonce)), self.runtime.now)
+        elif type(request) is client_messages.OpenSessionRequest:
+            self._handle_raft_result(
+                pending,
+                self.raft.propose(pack_command(OpenSession(request.nonce)), self.runtime.now),
             )
         else:
-            self._propose(ask, what)
+            self._propose(pending, request)
 
-    def _propose(self, ask: _Ask, what: Propose) -> None:
-        """Only a document that can be used goes to the log."""
+    def _propose(self, pending: _PendingRequest, request: Propose) -> None:
+        """Propose a document to the node if it is valid; reject it otherwise."""
         try:
-            found = (
-                read_document(msgspec.msgpack.decode(what.body))
-                if len(what.body) <= MAX_BODY_BYTES
+            document = (
+                read_document(msgspec.msgpack.decode(request.body))
+                if len(request.body) <= MAX_BODY_BYTES
                 else SchemaProblem("document", "too large")
             )
         except (msgspec.DecodeError, RecursionError) as error:
-            found = SchemaProblem("document", str(error))
-        if isinstance(found, SchemaProblem):
-            self._answer(ask, Rejection(f"{found.key}: {found.why}", **self._leader()))
+            document = SchemaProblem("document", str(error))
+        if isinstance(document, SchemaProblem):
+            self._answer(
+                pending, Rejection(f"{document.key}: {document.why}", **self._leader_fields())
+            )
         else:
-            self._settle(ask, self.raft.propose(pack_command(what), self.runtime.now))
-
-    def _settle(self, ask: _Ask, came: int | Refusal | None) -> None:
-        """What the protocol made of an ask: an index to wait for, a refusal, or (a read) nothing yet."""
-        if isinstance(came, Refusal):
-            self._reads.pop(ask, None)
-            self._answer(ask, Rejection(came.why.value, **self._leader()))
-        elif came is not None:
-            ask.term, ask.sent = self.raft.term, True
-            self._proposed.setdefault(came, []).append(ask)
-
-    def _given_up(self, ask: _Ask) -> None:
-        if self._reads.pop(ask, None) is not None:
-            self.raft.cancel_read(ask)
-        self._proposed = {
-            index: left
-            for index, asks in self._proposed.items()
-            if (left := [one for one in asks if one is not ask])
+            self._handle_raft_result(
+                pending, self.raft.propose(pack_command(request), self.runtime.now)
+            )
+
+    def _handle_raft_result(self, pending: _PendingRequest, result: int | Refusal | None) -> None:
+        """Handle what the node returned: a log index to wait for, a refusal, or None for a read."""
+        if isinstance(result, Refusal):
+            self._pending_reads.pop(pending, None)
+            self._answer(pending, Rejection(result.why.value, **self._leader_fields()))
+        elif result is not None:
+            pending.term, pending.sent = self.raft.term, True
+            self._pending_proposals.setdefault(result, []).append(pending)
+
+    def _on_timeout(self, pending: _PendingRequest) -> None:
+        """Forget a request that was not answered in time, and tell its client so."""
+        if self._pending_reads.pop(pending, None) is not None:
+            self.raft.cancel_read(pending)
+        self._pending_proposals = {
+            index: remaining
+            for index, requests in self._pending_proposals.items()
+            if (remaining := [item for item in requests if item is not pending])
         }
-        self._to_apply = [one for one in self._to_apply if one[1] is not ask]
+        self._reads_awaiting_apply = [
+            item for item in self._reads_awaiting_apply if item[1] is not pending
+        ]
         self.runtime.counters.add("member.given_up")
-        self._answer(ask, Rejection("no answer in time", may_have_run=ask.sent, **self._leader()))
-
-    def _answer(self, ask: _Ask, reply: client_messages.Reply) -> None:
-        if ask.deadline is not None:
-            ask.deadline.cancel()
-            ask.deadline = None
-            self._asks -= 1
-            if ask.link in self._each:
-                self._each[ask.link] -= 1
+        self._answer(
+            pending,
+            Rejection("no answer in time", may_have_run=pending.sent, **self._leader_fields()),
+        )
+
+    def _answer(self, pending: _PendingRequest, reply: client_messages.Reply) -> None:
+        """Send the reply to a pending request and release its place."""
+        if pending.deadline is not None:
+            pending.deadline.cancel()
+            pending.deadline = None
+            self._pending_count -= 1
+            if pending.link in self._pending_per_link:
+                self._pending_per_link[pending.link] -= 1
         self.runtime.counters.add(f"member.answers.{reply.__struct_config__.tag}")
-        ask.link.send(client_messages.encode(ask.number, reply))
+        pending.link.send(client_messages.encode(pending.number, reply))
+
+    # Subscribers: front ends that follow the agreed document.
 
-    # Front ends.
+    def _subscribe(self, pending: _PendingRequest, request: client_messages.Subscribe) -> None:
+        """Accept a subscriber if this member is current, and send it the latest document.
 
-    def _follow(self, ask: _Ask, what: client_messages.Subscribe) -> None:
-        """A front end is taken on by a member that is current; it never hears an older document than it holds."""
+        A subscriber is never sent a document older than the one it holds.
+        """
         latest = self.state.latest
         if not self.ready or not self.in_touch or self.removed:
-            ask.link.send(
+            pending.link.send(
                 client_messages.encode(
-                    ask.number,
-                    Rejection("no majority" if self.ready else "catching up", **self._leader()),
+                    pending.number,
+                    Rejection(
+                        "no majority" if self.ready else "catching up", **self._leader_fields()
+                    ),
                 )
             )
-        elif latest is not None and (latest.term, latest.index) < what.held:
-            ask.link.send(
+        elif latest is not None and (latest.term, latest.index) < request.held:
+            pending.link.send(
                 client_messages.encode(
-                    ask.number, Rejection("behind what you hold", **self._leader())
+                    pending.number, Rejection("behind what you hold", **self._leader_fields())
                 )
             )
         else:
-            self._followers[ask.link] = ask.number
-            ask.link.send(client_messages.encode(ask.number, client_messages.version_reply(latest)))
+            self._subscribers[pending.link] = pending.number
+            pending.link.send(
+                client_messages.encode(pending.number, client_messages.version_reply(latest))
+            )
 
-    def _tell_followers(self) -> None:
+    def _publish_latest(self) -> None:
+        """Send the latest document to all subscribers, unless they have it already."""
         latest = self.state.latest
-        if latest is None or latest.index <= self._told:
+        if latest is None or latest.index <= self._last_published_index:
             return
-        self._told = latest.index
+        self._last_published_index = latest.index
         reply = client_messages.version_reply(latest)
-        for link, number in list(self._followers.items()):
+        for link, number in list(self._subscribers.items()):
             if not link.send(client_messages.encode(number, reply)):
-                link.abort()  # too slow for its own good: it asks anew, and hears the latest
-
-    def _report(self) -> client_messages.StatusReport:
-        raft, now = self.raft, self.runtime.now
-        views = []
-        for one in raft.log.configuration.members:
-            seen = raft.progress.get(one.name)
-            views.append(
+                link.abort()  # too slow; it subscribes again and receives the latest document
+
+    def _status_report(self) -> client_messages.StatusReport:
+        """Return how this member sees itself and the cluster."""
+        raft = self.raft
+        now = self.runtime.now
+        members = []
+        for member in raft.log.configuration.members:
+            progress = raft.progress.get(member.name)
+            members.append(
                 client_messages.MemberStatus(
-                    one.name,
-                    one.address,
-                    one.votes,
-                    seen.match_index if seen else -1,
-                    now - seen.heard_at if seen else -1.0,
+                    member.name,
+                    member.address,
+                    member.votes,
+                    progress.match_index if progress else -1,
+                    now - progress.heard_at if progress else -1.0,
                 )
             )
         return client_messages.StatusReport(
@@ -612,14 +729,14 @@
             self.state.digest,
             self.ready,
             self.in_touch,
-            tuple(views),
+            tuple(members),
             {
                 "elections": raft.elections,
                 "stepped_down": raft.stepped_down,
                 "syncs": self.committer.disk.store.syncs,
                 "batches": self.committer.batches,
                 "writes": self.committer.writes,
-                "followers": len(self._followers),
-                "asks": self._asks,
+                "followers": len(self._subscribers),
+                "asks": self._pending_count,
             },
         )
