--- a/lifthinge/cluster/keys.py
+++ b/lifthinge/cluster/keys.py
@@ -1,7 +1,8 @@
-"""Keys by which members know one another: a file with one or two of them, the first of which signs.
+"""Keys that authenticate members and clients.
 
-To change a key without a gap: put the new one second everywhere, then first everywhere, then take the old one out.
-The file is read again whenever it has changed; one that others can read is refused.
+A key file holds one or two keys; the first signs, both are accepted. To change a key without
+interruption, add the new one second everywhere, then move it first everywhere, then remove the old
+one. The file is read again whenever it has changed. A file that other users can read is refused.
 
 >>> import os, tempfile
 >>> folder = tempfile.mkdtemp(); path = os.path.join(folder, "keys")
@@ -13,7 +14,7 @@
 >>> with open(path, "w") as file: _ = file.write("next " + "ef" * 32 + "\\n")
 >>> watched.now().signing                              # read again, as it has changed
 'next'
->>> os.chmod(path, 0o644); watched.now().signing, watched.problem.why     # unusable: the last keys stay in force
+>>> os.chmod(path, 0o644); watched.now().signing, watched.problem.why  # the last keys stay
 ('next', 'others can read it: chmod 600')
 >>> os.chmod(path, 0o644); read_keys(path).why.endswith("chmod 600")
 True
@@ -25,7 +26,9 @@
 import stat
 from dataclasses import dataclass
 
-KEY_BYTES, KEYS_MOST, FILE_MOST = 32, 2, 4096
+KEY_BYTES = 32
+MAX_KEYS = 2  # the current one, and the previous or next one while it is changed
+MAX_FILE_BYTES = 4096  # the rest of a longer file is ignored
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,18 +41,20 @@
 
 @dataclass(frozen=True)
 class Keys:
+    """The keys of one role by name; `signing` is the name of the one that signs."""
+
     signing: str
     by_id: dict[str, bytes]
 
 
 def read_keys(path: str) -> Keys | KeyFileProblem:
-    """The keys of a file: lines of a name and 64 hexadecimal digits."""
+    """Read a key file: lines of a name and 64 hexadecimal digits; # starts a comment."""
     try:
         with open(path, encoding="ascii") as file:
-            mode = os.fstat(file.fileno())
-            if mode.st_mode & (stat.S_IRWXG | stat.S_IRWXO):
+            status = os.fstat(file.fileno())
+            if status.st_mode & (stat.S_IRWXG | stat.S_IRWXO):
                 return KeyFileProblem(path, "others can read it: chmod 600")
-            lines = file.read(FILE_MOST).splitlines()
+            lines = file.read(MAX_FILE_BYTES).splitlines()
     except (OSError, UnicodeDecodeError) as error:
         return KeyFileProblem(path, getattr(error, "strerror", None) or "no text")
     by_id: dict[str, bytes] = {}
@@ -58,42 +63,49 @@
         if not words:
             continue
         try:
-            name, key = words[0], bytes.fromhex(words[1])
+            key_id, key = words[0], bytes.fromhex(words[1])
         except (IndexError, ValueError):
             return KeyFileProblem(path, f"line {number}: not a name and a key")
         if len(key) != KEY_BYTES or len(words) != 2:
             return KeyFileProblem(
                 path, f"line {number}: a key is {2 * KEY_BYTES} hexadecimal digits"
             )
-        if name in by_id or len(by_id) == KEYS_MOST:
+        if key_id in by_id or len(by_id) == MAX_KEYS:
             return KeyFileProblem(
-                path, f"line {number}: more than {KEYS_MOST} keys, or one name twice"
+                path, f"line {number}: more than {MAX_KEYS} keys, or one name twice"
             )
-        by_id[name] = key
+        by_id[key_id] = key
     if not by_id:
         return KeyFileProblem(path, "no key in it")
     return Keys(next(iter(by_id)), by_id)
 
 
 class KeyFile:
-    """A key file, read again when it has changed; one that has become unusable leaves the last keys in force."""
+    """A key file that is read again when it has changed.
+
+    If it has become unusable, the last keys stay in force and `problem` says why.
+    """
 
     def __init__(self, path: str, keys: Keys) -> None:
-        self.path, self.keys, self.problem = path, keys, None
-        self._seen = self._stamp()
+        self.path = path
+        self.keys = keys
+        self.problem: KeyFileProblem | None = None
+        self._last_stamp = self._file_stamp()
 
-    def _stamp(self) -> tuple[int, int, int] | None:
+    def _file_stamp(self) -> tuple[int, int, int] | None:
+        """Return time of change, size and mode of the file; None if it cannot be examined."""
         try:
-            found = os.stat(self.path)
+            status = os.stat(self.path)
         except OSError:
             return None
-        return found.st_mtime_ns, found.st_size, found.st_mode
+        return status.st_mtime_ns, status.st_size, status.st_mode
 
     def now(self) -> Keys:
-        stamp = self._stamp()
-        if stamp != self._seen:
-            self._seen = stamp
-            found = read_keys(self.path)
-            self.problem = found if isinstance(found, KeyFileProblem) else None
-            self.keys = self.keys if self.problem else found
+        """Return the current keys; read the file first if it has changed."""
+        stamp = self._file_stamp()
+        if stamp != self._last_stamp:
+            self._last_stamp = stamp
+            result = read_keys(self.path)
+            self.problem = result if isinstance(result, KeyFileProblem) else None
+            self.keys = self.keys if self.problem else result
         return self.keys
--- a/lifthinge/cluster/link.py
+++ b/lifthinge/cluster/link.py
@@ -1,4 +1,4 @@
-"""A connection between members, or from a client: hellos, then sealed frames both ways."""
+"""A connection between members or from a client: hellos, then authenticated frames both ways."""
 
 from collections.abc import Callable
 
@@ -20,16 +20,20 @@
 from lifthinge.memory.runtime import Runtime
 from lifthinge.wire.connection import Connection
 
-HELLO_WAIT = 1_000.0  # ms from connecting until both hellos have come
-SILENT_MOST = 60_000.0  # ms without a byte from a member or client
-OUTBOX_MOST = 16 << 20  # bytes that have not left; what comes beyond is not sent
+HELLO_TIMEOUT_MS = 1_000.0  # from connecting until both hellos have arrived
+MAX_SILENCE_MS = 60_000.0  # without a byte from the peer
+MAX_OUTBOX_BYTES = 16 << 20  # in the write buffer; further frames are not sent
 
 
 class Link(Connection):
-    """`opened` is called once the other side is known, `heard` with each body, `closed` at the end, once each."""
+    """An authenticated connection to a member or from a client.
+
+    `on_open` is called once when the peer is authenticated, `on_message` with the body of each
+    frame, and `on_close` once at the end.
+    """
 
     kind = "link"
-    max_unread_bytes = OUTBOX_MOST + MAX_FRAME_BYTES
+    max_unread_bytes = MAX_OUTBOX_BYTES + MAX_FRAME_BYTES
 
     def __init__(
         self,
@@ -42,42 +46,47 @@
         expected_peer: str = "",
     ) -> None:
         super().__init__(runtime, MAX_FRAME_BYTES + LENGTH_BYTES)
-        self.keys, self.cluster, self.name, self.role, self.dialed_peer = (
-            keys,
-            cluster,
-            name,
-            role,
-            dialed_peer,
-        )
-        self.expected_peer = expected_peer  # who must answer; empty: whoever holds the key
-        self.hello: Hello | None = None  # ours
-        self.peer_hello: Hello | None = None  # theirs
+        self.keys = keys  # returns the keys of a role
+        self.cluster = cluster
+        self.name = name  # of this side
+        self.role = role  # of this side, if it dials
+        self.dialed_peer = dialed_peer  # empty for an inbound connection
+        self.expected_peer = expected_peer  # who must answer; if empty, whoever holds the key
+        self.hello: Hello | None = None  # sent
+        self.peer_hello: Hello | None = None  # received
         self.on_open: Callable[[Link], None] = lambda link: None
         self.on_message: Callable[[Link, bytes], None] = lambda link, body: None
         self.on_close: Callable[[Link], None] = lambda link: None
-        self._sealer: FrameSigner | None = None
-        self._opener: FrameVerifier | None = None
-        self._deadline = None
+        self._signer: FrameSigner | None = None
+        self._verifier: FrameVerifier | None = None
+        self._liveness_timer = None
 
     def connection_made(self, transport) -> None:
+        """Start the hello timeout; the dialing side sends its hello first."""
         super().connection_made(transport)
-        self._deadline = self.runtime.deadlines.schedule(HELLO_WAIT, self._late)
+        self._liveness_timer = self.runtime.deadlines.schedule(
+            HELLO_TIMEOUT_MS, self._check_liveness
+        )
         if self.dialed_peer:
-            self._say_hello(self.role, self.expected_peer)
+            self._send_hello(self.role, self.expected_peer)
 
-    def _late(self) -> None:
-        if self._sealer is None:
+    def _check_liveness(self) -> None:
+        """Abort if the hellos are late or the peer has been silent for too long."""
+        if self._signer is None:
             self.runtime.rate_limited_log.warning(
                 "link_no_hello", peer=self.dialed_peer or "inbound"
             )
             self.abort()
-        elif self.runtime.now - self.last_received_at > SILENT_MOST:
+        elif self.runtime.now - self.last_received_at > MAX_SILENCE_MS:
             self.runtime.rate_limited_log.warning("link_silent", peer=self.peer_hello.sender)
             self.abort()
         else:
-            self._deadline = self.runtime.deadlines.schedule(SILENT_MOST / 2, self._late)
+            self._liveness_timer = self.runtime.deadlines.schedule(
+                MAX_SILENCE_MS / 2, self._check_liveness
+            )
 
-    def _say_hello(self, role: str, receiver: str) -> None:
+    def _send_hello(self, role: str, receiver: str) -> None:
+        """Send this side's hello, signed with the current key of the role."""
         keys = self.keys(role)
         nonce = self.runtime.rng.randbytes(NONCE_BYTES)
         self.hello = Hello(
@@ -87,75 +96,85 @@
         self.write(len(frame).to_bytes(LENGTH_BYTES, "big") + frame)
 
     def on_data(self) -> None:
+        """Process all complete frames received; refuse the peer at the first invalid one."""
         while not self.is_closed and len(self.buffer) >= LENGTH_BYTES:
             length = int.from_bytes(self.buffer.peek(0, LENGTH_BYTES), "big")
-            if not MAC_BYTES < length <= (MAX_FRAME_BYTES if self._opener else MAX_HELLO_BYTES):
+            if not MAC_BYTES < length <= (MAX_FRAME_BYTES if self._verifier else MAX_HELLO_BYTES):
                 return self._refuse(f"a frame of {length} bytes")
             if len(self.buffer) < LENGTH_BYTES + length:
                 return None
             self.buffer.take(LENGTH_BYTES)
             frame = self.buffer.take(length)
-            if self._opener is None:
-                self._meet(frame)
+            if self._verifier is None:
+                self._accept_hello(frame)
             else:
-                body = self._opener.verify_frame(frame)
+                body = self._verifier.verify_frame(frame)
                 if body is None:
                     return self._refuse("a frame that does not fit")
                 self.on_message(self, body)
         return None
 
-    def _meet(self, frame: bytes) -> None:
-        """The other side's hello: it must be of this cluster, meant for us, and of a role that its key is for."""
+    def _accept_hello(self, frame: bytes) -> None:
+        """Check the peer's hello and open the link.
+
+        It must be from this cluster, meant for this member, and signed with a key of its role.
+        """
         role = self.role if self.dialed_peer else "member"
-        found = read_hello(frame, self.keys(role).by_id)
-        if not self.dialed_peer and isinstance(found, str):
+        peer_hello = read_hello(frame, self.keys(role).by_id)
+        if not self.dialed_peer and isinstance(peer_hello, str):
             role = "client"
-            found = read_hello(frame, self.keys(role).by_id)
-        if isinstance(found, str):
-            return self._refuse(found)
-        if found.cluster != self.cluster:
+            peer_hello = read_hello(frame, self.keys(role).by_id)
+        if isinstance(peer_hello, str):
+            return self._refuse(peer_hello)
+        if peer_hello.cluster != self.cluster:
             return self._refuse("another cluster")
         if (
-            found.role != role
-            or found.receiver not in (self.name, "")
-            or self.expected_peer not in (found.sender, "")
+            peer_hello.role != role
+            or peer_hello.receiver not in (self.name, "")
+            or self.expected_peer not in (peer_hello.sender, "")
         ):
             return self._refuse("meant for another")
-        self.peer_hello = found
+        self.peer_hello = peer_hello
         if not self.dialed_peer:
-            self._say_hello(role, found.sender)
-        first, second = (self.hello, found) if self.dialed_peer else (found, self.hello)
-        talk, keys = connection_id(first, second), self.keys(role).by_id
-        ours, theirs = (b"out", b"in") if self.dialed_peer else (b"in", b"out")
-        if self.hello.key not in keys or found.key not in keys:
+            self._send_hello(role, peer_hello.sender)
+        first, second = (self.hello, peer_hello) if self.dialed_peer else (peer_hello, self.hello)
+        connection, keys = connection_id(first, second), self.keys(role).by_id
+        outbound_direction, inbound_direction = (
+            (b"out", b"in") if self.dialed_peer else (b"in", b"out")
+        )
+        if self.hello.key not in keys or peer_hello.key not in keys:
             return self._refuse("unknown key")
-        self._sealer = FrameSigner(keys[self.hello.key], talk, ours)
-        self._opener = FrameVerifier(keys[found.key], talk, theirs)
+        self._signer = FrameSigner(keys[self.hello.key], connection, outbound_direction)
+        self._verifier = FrameVerifier(keys[peer_hello.key], connection, inbound_direction)
         self.on_open(self)
         return None
 
-    def _refuse(self, why: str) -> None:
+    def _refuse(self, reason: str) -> None:
+        """Log why the peer is refused, and abort."""
         self.runtime.rate_limited_log.warning(
-            "link_refused", why=why, peer=self.peer_hello.sender if self.peer_hello else "unknown"
+            "link_refused",
+            why=reason,
+            peer=self.peer_hello.sender if self.peer_hello else "unknown",
         )
         self.abort()
 
     def send(self, body: bytes) -> bool:
-        """Sends one body; False if it can't be sent now, which a sender must bear."""
+        """Send one body; return False if it cannot be sent now: the caller must cope with its loss."""
         if (
-            self._sealer is None
+            self._signer is None
             or self.is_closed
             or self.transport is None
             or self.transport.is_closing()
         ):
             return False
-        if self.transport.get_write_buffer_size() > OUTBOX_MOST:
+        if self.transport.get_write_buffer_size() > MAX_OUTBOX_BYTES:
             self.runtime.counters.add("link.outbox_full")
             return False
-        self.write(self._sealer.sign_frame(body))
+        self.write(self._signer.sign_frame(body))
         return True
 
     def on_closed(self) -> None:
-        if self._deadline is not None:
-            self._deadline.cancel()
+        """Stop the timer and call `on_close`."""
+        if self._liveness_timer is not None:
+            self._liveness_timer.cancel()
         self.on_close(self)
