--- a/lifthinge/cluster/__init__.py
+++ b/lifthinge/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken between our own instances, and with those who ask them for the agreed configuration."""
+"""Cluster members, their links, and the clients that propose or follow the agreed document."""
--- a/lifthinge/cluster/client.py
+++ b/lifthinge/cluster/client.py
@@ -1,4 +1,7 @@
-"""Asks the members: finds who leads, and repeats under the same number until it is known what became of it."""
+"""Clients of the cluster.
+
+They find the leader, and repeat a proposal under the same number until its outcome is known.
+"""
 
 import asyncio
 from typing import Any
@@ -20,162 +23,200 @@
 from lifthinge.memory.runtime import Runtime
 from lifthinge.wire.connection import connect
 
-ANSWER_WAIT = 10_000.0  # ms for one answer, beyond the member's own limit
-ASIDE = 20.0, 250.0  # ms between tries, the longer the more have failed
+ANSWER_TIMEOUT_MS = 10_000.0  # longer than the member's own limits
+# The delay between attempts grows by the step with each failure, up to the maximum.
+RETRY_DELAY_STEP_MS = 20.0
+MAX_RETRY_DELAY_MS = 250.0
 Address = tuple[str, int]
 
 
 class MemberConnection:
-    """One connection to one member, and the asks under way on it."""
+    """A connection to one member, and the requests that wait for replies on it."""
 
     def __init__(self, runtime: Runtime, link: Link) -> None:
-        self.runtime, self.link = runtime, link
-        self._number = 0
-        self._waiting: dict[int, asyncio.Future] = {}
-        self.pushed_replies: asyncio.Queue | None = (
-            None  # what comes after the first answer of a Follow
-        )
-        link.on_message, link.on_close = self._heard, self._closed
-
-    def _heard(self, link: Link, body: bytes) -> None:
+        self.runtime = runtime
+        self.link = link
+        self._last_number = 0
+        self._pending_replies: dict[int, asyncio.Future] = {}
+        # Replies after the first one to a `Subscribe`, then None when the connection has closed.
+        self.pushed_replies: asyncio.Queue | None = None
+        link.on_message = self._on_message
+        link.on_close = self._on_close
+
+    def _on_message(self, link: Link, body: bytes) -> None:
+        """Pass a reply to the request that waits for it, or queue it."""
         number, reply = client_messages.decode_reply(body)
-        future = self._waiting.pop(number, None)
+        future = self._pending_replies.pop(number, None)
         if future is not None and not future.done():
             future.set_result(reply)
         elif self.pushed_replies is not None:
             self.pushed_replies.put_nowait(reply)
 
-    def _closed(self, link: Link) -> None:
-        waiting, self._waiting = self._waiting, {}
-        for future in waiting.values():
+    def _on_close(self, link: Link) -> None:
+        """End all waiting requests without a reply."""
+        pending_replies, self._pending_replies = self._pending_replies, {}
+        for future in pending_replies.values():
             if not future.done():
                 future.set_result(None)
         if self.pushed_replies is not None:
             self.pushed_replies.put_nowait(None)
 
     async def ask(
-        self, what: client_messages.Request, wait: float = ANSWER_WAIT
+        self, request: client_messages.Request, timeout_ms: float = ANSWER_TIMEOUT_MS
     ) -> client_messages.Reply | None:
-        """The answer; None if the connection broke or nothing came in time: what was asked may have run."""
-        self._number += 1
-        number = self._number
-        future = self._waiting[number] = asyncio.get_running_loop().create_future()
-        if not self.link.send(client_messages.encode(number, what)):
-            self._waiting.pop(number, None)
+        """Send a request and return its reply.
+
+        Returns None if the connection broke or no reply came within `timeout_ms`; the request may
+        have been executed.
+        """
+        self._last_number += 1
+        number = self._last_number
+        future = self._pending_replies[number] = asyncio.get_running_loop().create_future()
+        if not self.link.send(client_messages.encode(number, request)):
+            self._pending_replies.pop(number, None)
             return None
         deadline = self.runtime.deadlines.schedule(
-            wait, lambda: future.done() or future.set_result(None)
+            timeout_ms, lambda: future.done() or future.set_result(None)
         )
         try:
             return await future
         finally:
             deadline.cancel()
-            self._waiting.pop(number, None)
+            self._pending_replies.pop(number, None)
 
     def close(self) -> None:
+        """Abort the connection."""
         self.link.abort()
 
 
 async def connect_member(
-    runtime: Runtime, where: Address, cluster: str, name: str, keys: KeyFile
+    runtime: Runtime, address: Address, cluster: str, name: str, keys: KeyFile
 ) -> MemberConnection | None:
-    """A connection to a member, both sides known; None if there is none to be had."""
+    """Connect to a member and authenticate both sides; return None if that fails."""
 
-    def make() -> Link:
+    def create_link() -> Link:
         link = Link(
             runtime, lambda role: keys.now(), cluster, name, role="client", dialed_peer="member"
         )
-        link.on_open = lambda link: met.done() or met.set_result(True)
-        link.on_close = lambda link: met.done() or met.set_result(False)
+        link.on_open = lambda link: opened.done() or opened.set_result(True)
+        link.on_close = lambda link: opened.done() or opened.set_result(False)
         return link
 
-    met = asyncio.get_running_loop().create_future()
-    link = await connect(runtime, make, where)
+    opened = asyncio.get_running_loop().create_future()
+    link = await connect(runtime, create_link, address)
     if isinstance(link, Failure):
         return None
-    return MemberConnection(runtime, link) if await met else None
+    return MemberConnection(runtime, link) if await opened else None
 
 
 class ClusterClient:
-    """Goes from member to member until one answers; `members` are addresses by name, as the asker reaches them."""
+    """A client that tries one member after the other until one answers.
+
+    `members` are the addresses by name, as this client reaches them.
+    """
 
     def __init__(
         self, runtime: Runtime, members: dict[str, Address], cluster: str, name: str, keys: KeyFile
     ) -> None:
-        self.runtime, self.members, self.cluster, self.name, self.keys = (
-            runtime,
-            members,
-            cluster,
-            name,
-            keys,
-        )
-        self._call: MemberConnection | None = None
-        self._at = ""
-        self.session, self.number = 0, 0
-        self.attempts = 0
+        self.runtime = runtime
+        self.members = members
+        self.cluster = cluster
+        self.name = name
+        self.keys = keys
+        self._connection: MemberConnection | None = None
+        self._member_name = ""
+        self.session = 0  # 0 before a session is open
+        self.number = 0  # of the last proposal in the session
+        self.attempts = 0  # of all requests so far
 
     def close(self) -> None:
-        if self._call is not None:
-            self._call.close()
-            self._call = None
+        """Close the connection in use, if there is one."""
+        if self._connection is not None:
+            self._connection.close()
+            self._connection = None
 
     async def _reach(self, hint: str = "") -> MemberConnection | None:
-        """The connection in use, or another: to who is said to lead, else to any."""
-        if hint and hint != self._at and hint in self.members:
+        """Return the connection in use or a new one: to the member `hint`, else to a random one."""
+        if hint and hint != self._member_name and hint in self.members:
             self.close()
-            self._at = hint
-        if self._call is None or self._call.link.is_closed:
+            self._member_name = hint
+        if self._connection is None or self._connection.link.is_closed:
             if not hint:
-                self._at = self.runtime.rng.choice(sorted(self.members))
-            self._call = await connect_member(
-                self.runtime, self.members[self._at], self.cluster, self.name, self.keys
+                self._member_name = self.runtime.rng.choice(sorted(self.members))
+            self._connection = await connect_member(
+                self.runtime, self.members[self._member_name], self.cluster, self.name, self.keys
             )
-        return self._call
+        return self._connection
 
     async def ask(
-        self, what: client_messages.Request, until: float
+        self, request: client_messages.Request, deadline_ms: float
     ) -> client_messages.Reply | None:
-        """An answer from who can give it, by `until` (ms, the books' clock); None if none came.
+        """Send a request until a member answers it or the runtime's clock reaches `deadline_ms`.
 
-        What took no effect, or takes it once however often it is sent, is sent again.
+        A request is sent again if it had no effect, or has its effect only once however often it
+        is sent. Returns the last reply if none was final, None if there was none at all.
         """
-        hint, failed, last = "", 0, None
-        while self.runtime.now < until:
+        hint = ""
+        failures = 0
+        last_reply = None
+        while self.runtime.now < deadline_ms:
             self.attempts += 1
-            link = await self._reach(hint)
-            wait = max(until - self.runtime.now, 1.0)
-            reply = await link.ask(what, min(wait, ANSWER_WAIT)) if link is not None else None
-            if reply is not None and not (isinstance(reply, Rejection) and reply.why in _ELSEWHERE):
+            connection = await self._reach(hint)
+            timeout_ms = max(deadline_ms - self.runtime.now, 1.0)
+            reply = (
+                await connection.ask(request, min(timeout_ms, ANSWER_TIMEOUT_MS))
+                if connection is not None
+                else None
+            )
+            if reply is not None and not (
+                isinstance(reply, Rejection) and reply.why in _RETRYABLE_REJECTIONS
+            ):
                 return reply
-            last, failed = reply or last, failed + 1
+            last_reply = reply or last_reply
+            failures += 1
             hint = (
                 reply.leader if isinstance(reply, Rejection) and reply.why == "not_leader" else ""
             )
             if reply is None or not hint:
                 self.close()
-            if failed > 1 or not hint:
+            if failures > 1 or not hint:
                 await self.runtime.pause(
-                    min(ASIDE[0] * failed, ASIDE[1]) * (0.5 + self.runtime.rng.random())
+                    min(RETRY_DELAY_STEP_MS * failures, MAX_RETRY_DELAY_MS)
+                    * (0.5 + self.runtime.rng.random())
                 )
-        return last
+        return last_reply
 
     async def propose(
-        self, document: dict[str, Any], on: int, author: str, at: float, until: float
+        self,
+        document: dict[str, Any],
+        base_version: int,
+        author: str,
+        proposed_at_ms: float,
+        deadline_ms: float,
     ) -> Accepted | VersionConflict | InvalidProposal | Rejection | None:
-        """Proposes a document in place of version `on`; takes effect once, however often it is sent."""
+        """Propose a document in place of version `base_version`.
+
+        It takes effect once, however often it is sent. `proposed_at_ms` is recorded with it;
+        `deadline_ms` is as for `ask`. Returns what `ask` returned.
+        """
         if not self.session:
             opened = await self.ask(
-                client_messages.OpenSessionRequest(self.runtime.rng.randbytes(8)), until
+                client_messages.OpenSessionRequest(self.runtime.rng.randbytes(8)), deadline_ms
             )
             if not isinstance(opened, SessionOpened):
                 return opened
-            self.session, self.number = opened.session, 0
+            self.session = opened.session
+            self.number = 0
         self.number += 1
         body = msgspec.msgpack.encode(document)
-        return await self.ask(Propose(self.session, self.number, on, at, author, body), until)
+        return await self.ask(
+            Propose(self.session, self.number, base_version, proposed_at_ms, author, body),
+            deadline_ms,
+        )
 
 
-_ELSEWHERE = {
+# Reasons in a `Rejection` for which the request is sent again, possibly to another member.
+_RETRYABLE_REJECTIONS = {
     "not_leader",
     "catching up",
     "nobody leads who could say",
--- a/lifthinge/cluster/client_messages.py
+++ b/lifthinge/cluster/client_messages.py
@@ -4,8 +4,6 @@
 chooses and the reply repeats. Tags and the order of the fields are the wire format.
 """
 
-from typing import Union
-
 import msgspec
 
 from lifthinge.agreed.commands import (
@@ -65,16 +63,16 @@
     held: tuple[int, int] = (0, 0)
 
 
-Request = Union[
-    OpenSessionRequest,
-    Propose,
-    GetVersion,
-    ListVersions,
-    GetStatus,
-    ChangeMembership,
-    TransferLeadership,
-    Subscribe,
-]
+Request = (
+    OpenSessionRequest
+    | Propose
+    | GetVersion
+    | ListVersions
+    | GetStatus
+    | ChangeMembership
+    | TransferLeadership
+    | Subscribe
+)
 
 
 class Rejection(msgspec.Struct, array_like=True, frozen=True, tag="Sorry"):
@@ -141,17 +139,17 @@
     counters: dict[str, float]
 
 
-Reply = Union[
-    SessionOpened,
-    Accepted,
-    VersionConflict,
-    InvalidProposal,
-    Rejection,
-    VersionReply,
-    VersionList,
-    Done,
-    StatusReport,
-]
+Reply = (
+    SessionOpened
+    | Accepted
+    | VersionConflict
+    | InvalidProposal
+    | Rejection
+    | VersionReply
+    | VersionList
+    | Done
+    | StatusReport
+)
 
 _request_decoder = msgspec.msgpack.Decoder(tuple[int, Request])
 _reply_decoder = msgspec.msgpack.Decoder(tuple[int, Reply])
--- a/lifthinge/cluster/disk.py
+++ b/lifthinge/cluster/disk.py
@@ -1,15 +1,21 @@
-"""A member's disk: the protocol's writes as records of the store, many to one sync, off the loop.
+"""A member's disk.
+
+The writes of the Raft node become records of the store. Many writes share one sync, which runs on a
+thread outside the event loop.
 
 >>> import tempfile
 >>> from pathlib import Path
 >>> from lifthinge.raft.messages import Entry, EntryKind
 >>> files = Files(Path(tempfile.mkdtemp()))
 >>> disk = open_disk(files)
->>> disk.apply_writes([Write(1, 3, "b", has_vote=True, entries=[Entry(1, 3, EntryKind.COMMAND, b"x")])]); disk.store.close()
->>> disk = open_disk(files); disk.stored_state.persistent_state().voted_for, disk.stored_state.persistent_state().entries
+>>> entry = Entry(1, 3, EntryKind.COMMAND, b"x")
+>>> disk.apply_writes([Write(1, 3, "b", has_vote=True, entries=[entry])]); disk.store.close()
+>>> disk = open_disk(files); persistent = disk.stored_state.persistent_state()
+>>> persistent.voted_for, persistent.entries
 ('b', (Entry(index=1, term=3, kind=<EntryKind.COMMAND: 1>, data=b'x'),))
 >>> disk.apply_writes([Write(1, 3, "b", snapshot=Snapshot(1, 3, data=b"s"))]); disk.store.close()
->>> disk = open_disk(files); disk.stored_state.snapshot.data, disk.stored_state.entries, disk.stored_state.term
+>>> disk = open_disk(files); stored = disk.stored_state
+>>> stored.snapshot.data, stored.entries, stored.term
 (b's', [], 3)
 >>> disk.store.close()
 """
@@ -27,168 +33,197 @@
 from lifthinge.store.files import Files
 from lifthinge.store.store import Damage, Store
 
-VOTE, CUT, ENTRY, BEGIN = 1, 2, 3, 4  # kinds of records
+# Kinds of records in the log file.
+VOTE_RECORD = 1
+TRUNCATE_RECORD = 2
+ENTRY_RECORD = 3
+IDENTITY_RECORD = 4
 
 
 class _Vote(msgspec.Struct, array_like=True):
+    """The content of a vote record."""
+
     term: int
     voted_for: str | None
 
 
 class FolderIdentity(msgspec.Struct, array_like=True):
-    """What a folder is for, written when it is begun: it is never taken for another's."""
+    """The cluster and member to which a folder belongs, and the initial configuration.
+
+    It is written when the folder is created, so that the folder is never used by another member.
+    """
 
     cluster: str
     member: str
     configuration: Configuration
 
 
-_vote, _entry = msgspec.msgpack.Decoder(_Vote), msgspec.msgpack.Decoder(Entry)
-_snapshot, _cluster = (
-    msgspec.msgpack.Decoder(tuple[FolderIdentity | None, Snapshot]),
-    msgspec.msgpack.Decoder(FolderIdentity),
-)
+_vote_decoder = msgspec.msgpack.Decoder(_Vote)
+_entry_decoder = msgspec.msgpack.Decoder(Entry)
+_snapshot_decoder = msgspec.msgpack.Decoder(tuple[FolderIdentity | None, Snapshot])
+_identity_decoder = msgspec.msgpack.Decoder(FolderIdentity)
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class Disk:
-    """The store, and in memory what it holds; used by one thread at a time."""
+    """A member's store and its content in memory; used by one thread at a time."""
 
     def __init__(
         self, store: Store, stored_state: StoredState, identity: FolderIdentity | None
     ) -> None:
-        self.store, self.stored_state, self.identity = store, stored_state, identity
-
-    def initialize(self, cluster: FolderIdentity) -> None:
-        """A new folder learns whose it is."""
-        self.identity, self.stored_state.configuration = cluster, cluster.configuration
-        self.store.append(BEGIN, _encode(cluster))
+        self.store = store
+        self.stored_state = stored_state
+        self.identity = identity
+
+    def initialize(self, identity: FolderIdentity) -> None:
+        """Write the identity into a new folder."""
+        self.identity = identity
+        self.stored_state.configuration = identity.configuration
+        self.store.append(IDENTITY_RECORD, _encode(identity))
         self.store.sync()
 
     def apply_writes(self, writes: Iterable[Write]) -> None:
-        """Makes writes durable, in their order; an `OSError` leaves the disk unusable."""
-        due = False
+        """Make writes durable, in order; after an `OSError` the disk must not be used any more."""
+        needs_sync = False
         for write in writes:
             if write.snapshot is None:
-                self._append(write)
+                self._append_records(write)
             else:
                 if write.has_vote or write.entries or write.truncate_from is not None:
-                    self._append(
-                        write
-                    )  # what the snapshot supersedes is told first, and dropped with it
+                    # Records that the snapshot supersedes are written first, and dropped with it.
+                    self._append_records(write)
                 self.stored_state.apply_write(write)
-                kept = [(VOTE, _encode(_Vote(self.stored_state.term, self.stored_state.voted_for)))]
-                kept += [(ENTRY, _encode(one)) for one in self.stored_state.entries]
-                self.store.save(_encode((self.identity, write.snapshot)), kept)
-            due = due or write.snapshot is None
-        if due:
+                records = [
+                    (
+                        VOTE_RECORD,
+                        _encode(_Vote(self.stored_state.term, self.stored_state.voted_for)),
+                    )
+                ]
+                records += [(ENTRY_RECORD, _encode(entry)) for entry in self.stored_state.entries]
+                self.store.save(_encode((self.identity, write.snapshot)), records)
+            needs_sync = needs_sync or write.snapshot is None
+        if needs_sync:
             self.store.sync()
 
-    def _append(self, write: Write) -> None:
+    def _append_records(self, write: Write) -> None:
+        """Append the records of a write, without its entries if it has a snapshot; no sync."""
         if write.has_vote:
-            self.store.append(VOTE, _encode(_Vote(write.term, write.voted_for)))
+            self.store.append(VOTE_RECORD, _encode(_Vote(write.term, write.voted_for)))
         if write.truncate_from is not None:
-            self.store.append(CUT, _encode(write.truncate_from))
+            self.store.append(TRUNCATE_RECORD, _encode(write.truncate_from))
         if write.snapshot is not None:
             return
-        for one in write.entries:
-            self.store.append(ENTRY, _encode(one))
+        for entry in write.entries:
+            self.store.append(ENTRY_RECORD, _encode(entry))
         self.stored_state.apply_write(write)
 
 
 def open_disk(files: Files) -> Disk | Damage:
-    """A folder as the protocol needs it; damage is told, never mended by guessing."""
+    """Open a folder and rebuild its state; damage is reported, never repaired by guessing."""
     store = Store.open(files)
     if isinstance(store, Damage):
         return store
-    read = rebuild_state(store.snapshot, store.found)
+    rebuilt = rebuild_state(store.snapshot, store.found)
     store.found = []
-    if isinstance(read, Damage):
+    if isinstance(rebuilt, Damage):
         store.close()
-        return read
-    return Disk(store, *read)
+        return rebuilt
+    return Disk(store, *rebuilt)
 
 
 def rebuild_state(
     snapshot: bytes | None, records: Iterable[tuple[int, bytes]]
 ) -> tuple[StoredState, FolderIdentity | None] | Damage:
-    """What a snapshot and the records after it come to."""
-    stored_state, cluster, place = StoredState(), None, 0
+    """Rebuild the stored state and the identity from a snapshot and the records after it."""
+    stored_state, identity, position = StoredState(), None, 0
     try:
         if snapshot is not None:
-            cluster, stored_state.snapshot = _snapshot.decode(snapshot)
-        for place, (kind, data) in enumerate(records):
-            if kind == VOTE:
-                vote = _vote.decode(data)
+            identity, stored_state.snapshot = _snapshot_decoder.decode(snapshot)
+        for position, (kind, data) in enumerate(records):
+            if kind == VOTE_RECORD:
+                vote = _vote_decoder.decode(data)
                 stored_state.set_vote(vote.term, vote.voted_for)
-            elif kind == CUT:
+            elif kind == TRUNCATE_RECORD:
                 stored_state.truncate(msgspec.msgpack.decode(data, type=int))
-            elif kind == ENTRY:
-                stored_state.append(_entry.decode(data))
-            elif kind == BEGIN:
-                cluster = _cluster.decode(data)
+            elif kind == ENTRY_RECORD:
+                stored_state.append(_entry_decoder.decode(data))
+            elif kind == IDENTITY_RECORD:
+                identity = _identity_decoder.decode(data)
             else:
-                return Damage("log", place, f"record {place} is of the unknown kind {kind}")
+                return Damage("log", position, f"record {position} is of the unknown kind {kind}")
     except (msgspec.ValidationError, msgspec.DecodeError, ValueError) as error:
-        return Damage("log", place, f"record {place}: {error}")
-    if cluster is not None:
-        stored_state.configuration = cluster.configuration
-    return stored_state, cluster
+        return Damage("log", position, f"record {position}: {error}")
+    if identity is not None:
+        stored_state.configuration = identity.configuration
+    return stored_state, identity
 
 
 class Committer:
-    """Carries out writes on a thread of its own: what comes while a sync is under way goes with the next one."""
+    """Make writes durable on a thread of its own; writes submitted during a sync share the next.
+
+    On the event loop, `on_durable` is called with the number of the last write of each batch, and
+    `on_error` once if a batch fails; nothing is written after that.
+    """
 
     def __init__(
-        self, disk: Disk, done: Callable[[int], None], failed: Callable[[Exception], None]
+        self, disk: Disk, on_durable: Callable[[int], None], on_error: Callable[[Exception], None]
     ) -> None:
-        self.disk, self._done, self._failed = disk, done, failed
-        self._waiting: list[Write] = []
-        self._busy = self._closed = False
-        self._due: SimpleQueue[list[Write] | None] = SimpleQueue()
+        self.disk = disk
+        self._on_durable = on_durable
+        self._on_error = on_error
+        self._waiting_writes: list[Write] = []
+        self._is_writing = False
+        self._is_closed = False
+        self._batches: SimpleQueue[list[Write] | None] = SimpleQueue()
         self._loop = asyncio.get_running_loop()
-        self._thread = Thread(target=self._run, name="store", daemon=True)
+        self._thread = Thread(target=self._write_batches, name="store", daemon=True)
         self._thread.start()
-        self.batches = self.writes = 0
+        self.batches = 0  # started so far
+        self.writes = 0  # in these batches
 
     def submit(self, writes: list[Write]) -> None:
-        self._waiting += writes
-        self._start()
+        """Make these writes durable, after those submitted before."""
+        self._waiting_writes += writes
+        self._start_batch()
 
-    def _start(self) -> None:
-        if self._busy or self._closed or not self._waiting:
+    def _start_batch(self) -> None:
+        """Pass all waiting writes to the thread, unless it is still writing."""
+        if self._is_writing or self._is_closed or not self._waiting_writes:
             return
-        batch, self._waiting, self._busy = self._waiting, [], True
-        self.batches, self.writes = self.batches + 1, self.writes + len(batch)
-        self._due.put(batch)
-
-    def _run(self) -> None:
-        """The thread: one batch after the other; the loop hears of each at once."""
-        while (batch := self._due.get()) is not None:
+        batch, self._waiting_writes = self._waiting_writes, []
+        self._is_writing = True
+        self.batches += 1
+        self.writes += len(batch)
+        self._batches.put(batch)
+
+    def _write_batches(self) -> None:
+        """Write batch after batch, on the thread, and report each to the event loop."""
+        while (batch := self._batches.get()) is not None:
             error = None
             try:
                 self.disk.apply_writes(batch)
-            except Exception as found:
-                error = found
+            except Exception as exception:
+                error = exception
             try:
-                self._loop.call_soon_threadsafe(self._ended, error, batch[-1].number)
-            except RuntimeError:  # the loop is closed: nobody waits any more
+                self._loop.call_soon_threadsafe(self._on_batch_end, error, batch[-1].number)
+            except RuntimeError:  # the event loop is closed: nothing waits for the result
                 return
 
-    def _ended(self, error: Exception | None, number: int) -> None:
-        self._busy = False
-        if self._closed:
+    def _on_batch_end(self, error: Exception | None, number: int) -> None:
+        """Report a batch, on the event loop, and start the next one."""
+        self._is_writing = False
+        if self._is_closed:
             return
         if error is not None:
-            self._closed = True
-            self._failed(error)
+            self._is_closed = True
+            self._on_error(error)
             return
-        self._done(number)
-        self._start()
+        self._on_durable(number)
+        self._start_batch()
 
     def close(self) -> None:
-        """Lets what is under way end, then gives the folder back."""
-        self._closed = True
-        self._due.put(None)
+        """Wait for the batch being written, then close the store; blocks."""
+        self._is_closed = True
+        self._batches.put(None)
         self._thread.join()
         self.disk.store.close()
--- a/lifthinge/cluster/link.py
+++ b/lifthinge/cluster/link.py
@@ -159,7 +159,7 @@
         self.abort()
 
     def send(self, body: bytes) -> bool:
-        """Send one body; return False if it cannot be sent now: the caller must cope with its loss."""
+        """Send one body; return False if it cannot be sent now, a loss that callers must handle."""
         if (
             self._signer is None
             or self.is_closed
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -404,7 +404,7 @@
             and recipient in self._inbound_by_member
             and self.raft.log.configuration.get(recipient) is None
         ):
-            # A new member does not know any address yet: it answers on the link that it was sent on.
+            # A new member knows no address yet: it answers on the link on which it was asked.
             link = self._inbound_by_member[recipient]
         if link is not None and not link.is_closed:
             if link.send(messages.encode(message)):
