--- a/lifthinge/cluster/frame_auth.py
+++ b/lifthinge/cluster/frame_auth.py
@@ -84,7 +84,7 @@
 
 
 def connection_id(dialer_hello: Hello, acceptor_hello: Hello) -> bytes:
-    """Return the bytes that identify a connection: both hellos, with their nonces."""
+    """Return the bytes that identify a connection: both hellos, the dialing side's first."""
     return msgspec.msgpack.encode((dialer_hello, acceptor_hello))
 
 
--- a/lifthinge/cluster/keys.py
+++ b/lifthinge/cluster/keys.py
@@ -56,7 +56,7 @@
                 return KeyFileProblem(path, "others can read it: chmod 600")
             lines = file.read(MAX_FILE_BYTES).splitlines()
     except (OSError, UnicodeDecodeError) as error:
-        return KeyFileProblem(path, getattr(error, "strerror", None) or "no text")
+        return KeyFileProblem(path, getattr(error, "strerror", None) or "not ASCII text")
     by_id: dict[str, bytes] = {}
     for number, line in enumerate(lines, 1):
         words = line.split("#")[0].split()
@@ -76,7 +76,7 @@
             )
         by_id[key_id] = key
     if not by_id:
-        return KeyFileProblem(path, "no key in it")
+        return KeyFileProblem(path, "contains no key")
     return Keys(next(iter(by_id)), by_id)
 
 
--- a/lifthinge/cluster/link.py
+++ b/lifthinge/cluster/link.py
@@ -33,7 +33,7 @@
     """
 
     kind = "link"
-    max_unread_bytes = MAX_OUTBOX_BYTES + MAX_FRAME_BYTES
+    max_unread_bytes = MAX_OUTBOX_BYTES + MAX_FRAME_BYTES  # `send` adds one frame at most
 
     def __init__(
         self,
@@ -138,7 +138,8 @@
         if not self.dialed_peer:
             self._send_hello(role, peer_hello.sender)
         first, second = (self.hello, peer_hello) if self.dialed_peer else (peer_hello, self.hello)
-        connection, keys = connection_id(first, second), self.keys(role).by_id
+        connection = connection_id(first, second)
+        keys = self.keys(role).by_id
         outbound_direction, inbound_direction = (
             (b"out", b"in") if self.dialed_peer else (b"in", b"out")
         )
--- a/lifthinge/cluster/member.py
+++ b/lifthinge/cluster/member.py
@@ -56,7 +56,7 @@
     name: str
     listen: Address
     options: RaftOptions
-    keys: Callable[[str], Keys]
+    keys: Callable[[str], Keys]  # of a role, "member" or "client"
     snapshot_entries: int = 20_000  # applied since the last snapshot; then the log is compacted
 
 
@@ -629,7 +629,8 @@
             self._pending_reads.pop(pending, None)
             self._answer(pending, Rejection(result.why.value, **self._leader_fields()))
         elif result is not None:
-            pending.term, pending.sent = self.raft.term, True
+            pending.term = self.raft.term
+            pending.sent = True
             self._pending_proposals.setdefault(result, []).append(pending)
 
     def _on_timeout(self, pending: _PendingRequest) -> None:
